--- a/scripts/fleet.ts
+++ b/scripts/fleet.ts
@@ -8,6 +8,7 @@
 import type { DaemonDescription } from "../src/core/daemon_core.ts";
 import type { MetricsSnapshot } from "../src/daemon/metrics.ts";
 import type { HostStructure } from "../src/core/structures.ts";
+import { chooseProgram } from "./program_choice.ts";
 
 const ROOT = new URL("..", import.meta.url).pathname;
 const START_TIMEOUT_MS = 15_000;
@@ -115,8 +116,10 @@
         ...settings,
       }),
     );
+    const hostIndex = [...this.daemons.keys()].indexOf(id);
     const started = this.#spawn(id, [
-      this.#options.daemonMain ?? "src/daemon/main.ts",
+      this.#options.daemonMain ??
+        chooseProgram("src/daemon/main.ts", hostIndex),
       "-s",
       file,
     ]);
--- a/test/soak/soak_fleet.ts
+++ b/test/soak/soak_fleet.ts
@@ -10,6 +10,7 @@
   buildPlatformRoute,
 } from "../../fakes/platform_configuration.ts";
 import { FakePlatformStore } from "../../fakes/fake_platform_store.ts";
+import { chooseProgram } from "../../scripts/program_choice.ts";
 import { FaultProxy } from "./fault_proxy.ts";
 
 /** Short, so that holders change often within a run. */
@@ -20,6 +21,7 @@
 
 export interface SoakGateway {
   ip: string;
+  program: string;
   settingsFile: string;
   storeProxy: FaultProxy;
   child: ChildProcess;
@@ -142,11 +144,13 @@
         logLevel: "info",
       }),
     );
+    const program = chooseProgram("platform/main.ts", index);
     const gateway: SoakGateway = {
       ip,
+      program,
       settingsFile,
       storeProxy,
-      child: this.#spawn(settingsFile),
+      child: this.#spawn(program, settingsFile),
       life: 1,
     };
     this.gateways.push(gateway);
@@ -157,15 +161,15 @@
     gateway.child.once("exit", () => {
       if (this.#isStopped) return;
       gateway.life += 1;
-      gateway.child = this.#spawn(gateway.settingsFile);
+      gateway.child = this.#spawn(gateway.program, gateway.settingsFile);
       this.#restartOnExit(gateway);
     });
   }
 
-  #spawn(settingsFile: string): ChildProcess {
+  #spawn(program: string, settingsFile: string): ChildProcess {
     return spawn(
       process.execPath,
-      ["--import", "tsx", "platform/main.ts", settingsFile],
+      ["--import", "tsx", program, settingsFile],
       { stdio: ["ignore", "ignore", "inherit"] },
     );
   }
