--- a/bench/places/places_simulation.ts
+++ b/bench/places/places_simulation.ts
@@ -4,8 +4,8 @@
  * they came; what an engine held lately loads from its own memory.
  */
 import {
-  AdapterPlaces,
-  type Place,
+  type AdapterSlot,
+  AdapterSlots,
 } from "../../src/core/placement/adapter_places.ts";
 import { findRendezvousWinner } from "../../src/core/hashing.ts";
 import type { Milliseconds } from "../../src/core/structures.ts";
@@ -42,7 +42,7 @@
 
 interface SimulatedEngine {
   id: string;
-  places: AdapterPlaces;
+  places: AdapterSlots;
   /** Requests that have not begun to run, in the order in which they came. */
   waiting: WaitingDemand[];
   uses: Map<string, number>;
@@ -75,7 +75,7 @@
     this.#rule = rule;
     this.#engines = Array.from({ length: site.engines }, (_, index) => ({
       id: `engine ${index}`,
-      places: new AdapterPlaces(site.slotsPerEngine),
+      places: new AdapterSlots(site.slotsPerEngine),
       waiting: [],
       uses: new Map(),
       coming: new Map(),
@@ -115,26 +115,26 @@
   /** Starts what can run, and then loads for the others: what is there for somebody does not yield. */
   #pump(engine: SimulatedEngine, now: Milliseconds): void {
     engine.waiting = engine.waiting.filter((request) => {
-      const place = engine.places.getPlace(request.path);
+      const place = engine.places.getSlot(request.path);
       if (place?.state !== "resident") return true;
       this.#startRun(engine, place, request, now);
       return false;
     });
     for (const { path } of engine.waiting) {
-      if (!engine.places.getPlace(path)) this.#load(engine, path, now);
+      if (!engine.places.getSlot(path)) this.#load(engine, path, now);
     }
   }
 
   #startRun(
     engine: SimulatedEngine,
-    place: Place,
+    place: AdapterSlot,
     request: WaitingDemand,
     now: Milliseconds,
   ): void {
     this.#waits.push(now - request.at);
     engine.places.recordUse(place, request.id, now);
     this.#heap.add(now + request.holdMs, (at) => {
-      place.permits.delete(request.id);
+      place.permitIds.delete(request.id);
       place.lastUsedAt = at;
       this.#pump(engine, at);
     });
@@ -142,17 +142,17 @@
 
   #load(engine: SimulatedEngine, path: string, now: Milliseconds): void {
     const { places } = engine;
-    if (!places.hasRoom()) {
+    if (!places.hasFreeSlot()) {
       const victim = findVictim(engine, this.#rule, now);
       if (!victim) return;
       places.recordEvicted(victim.adapterPath);
     }
-    const isFetch = places.isFetch(path);
+    const isFetch = places.needsFetch(path);
     if (isFetch) this.#fetches += 1;
     else this.#reloads += 1;
     places.recordLoadOrdered(path, undefined, now);
     this.#heap.add(now + (isFetch ? FETCH_MS : RELOAD_MS), (at) => {
-      const place = places.getPlace(path);
+      const place = places.getSlot(path);
       if (!place) return;
       place.state = "resident";
       place.isConfirmed = true;
@@ -165,11 +165,11 @@
   engine: SimulatedEngine,
   rule: YieldRule,
   now: Milliseconds,
-): Place | undefined {
+): AdapterSlot | undefined {
   const { places, uses, coming } = engine;
   switch (rule) {
     case YieldRule.DecayedUse:
-      return places.findEvictable(now);
+      return places.findEvictionVictim(now);
     case YieldRule.LeastRecent:
       return selectLeast(places.listIdle(now), (place) => place.lastUsedAt);
     case YieldRule.FewestUses:
@@ -187,8 +187,8 @@
 }
 
 function selectLeast(
-  places: readonly Place[],
-  measureOf: (place: Place) => number,
-): Place | undefined {
+  places: readonly AdapterSlot[],
+  measureOf: (place: AdapterSlot) => number,
+): AdapterSlot | undefined {
   return [...places].sort((a, b) => measureOf(a) - measureOf(b))[0];
 }
--- a/scripts/list_outer_names.ts
+++ b/scripts/list_outer_names.ts
@@ -124,11 +124,11 @@
     ...listInCalls(/\.(?:count|measure|setGauge)\(/g),
     ...listInSources(/(?:counter|histogram|tag): "(\w*)"/g),
     ...listInSources(/\bchange: "(\w+)"/g),
-    ...listInSources(/#describeBelief\(\s*"(\w+)"/g),
+    ...listInSources(/#describe(?:Belief|Change)\(\s*"(\w+)"/g),
   ],
   "log events and fields": [
     ...listInCalls(/(?:log|logger|[lL]og)\.(?:debug|info|warn|error)\(/g),
-    ...listInCalls(/#describeBelief\(/g),
+    ...listInCalls(/#describe(?:Belief|Change)\(/g),
   ],
   "keys of settings, deploy files and tables": [
     "deploy/settings.yaml.template",
--- a/src/core/admission/engine_desk.ts
+++ b/src/core/admission/engine_desk.ts
@@ -4,12 +4,12 @@
  * once what can't be served in time. Load pattern: more distinct adapters than
  * slots and more prompts than the engine reads in time, from many daemons.
  */
-import type { AdapterPlaces, Place } from "../placement/adapter_places.ts";
-import { LOAD_LATENESS_MS } from "../placement/adapter_places.ts";
-import { MAX_COMING } from "../placement/fetch_window.ts";
+import type { AdapterSlot, AdapterSlots } from "../placement/adapter_places.ts";
+import { MAX_LOAD_LATENESS_MS } from "../placement/adapter_places.ts";
+import { MAX_LOADING } from "../placement/fetch_window.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { BatchDemand, BatchRoom } from "./batch_room.ts";
-import { RunPace } from "./run_pace.ts";
+import type { BatchCapacity, BatchDemand } from "./batch_room.ts";
+import { RunEstimator } from "./run_pace.ts";
 
 /** A request for a place in an engine's batch. */
 export interface PermitRequest extends BatchDemand {
@@ -39,7 +39,7 @@
   /** The batch, or what is to be read before, is too long. */
   Busy: "busy",
   /** This daemon does not give the engine's orders. */
-  NotHolder: "notHolder",
+  NotOwner: "notHolder",
   /** The wait ended without a place. */
   Overdue: "overdue",
 } as const;
@@ -66,7 +66,7 @@
 }
 
 /** The next order that the engine should get. */
-export type WantedOrder =
+export type EngineOrder =
   | {
     kind: "load";
     model: string;
@@ -77,13 +77,13 @@
   | { kind: "evict"; model: string; adapter: string; adapterPath: string };
 
 /** Part of the time until the first token is late that an estimate may take here before another engine is tried. */
-const SPREAD_SHARE = 0.65;
+const SPILLOVER_TOTAL_FRACTION = 0.65;
 /** Part of that time that has to be lost on what is scarce here alone, before another engine is worth a further load. */
-const MOVE_SHARE = 0.2;
+const SPILLOVER_LOCAL_FRACTION = 0.2;
 /** Time after taking an engine over in which daemons tell of the runs that they have there. */
-const ADOPTION_MS = 900;
+const ADOPTION_TIMEOUT_MS = 900;
 /** Backlog of prompts beyond which a request waits here instead of in the engine. */
-const MAX_BACKLOG_MS = 600;
+const MAX_PREFILL_BACKLOG_MS = 600;
 
 interface WaitingRequest {
   request: PermitRequest;
@@ -98,7 +98,7 @@
   /** Until its adapter is there, with the loads before its own here. */
   loadMs: Milliseconds;
   /** For the loads elsewhere that the weight store is busy with. */
-  storeMs: Milliseconds;
+  storeQueueMs: Milliseconds;
 }
 
 interface Permit {
@@ -109,24 +109,24 @@
   hasFirstToken: boolean;
 }
 
-export class EngineDesk {
-  readonly places: AdapterPlaces;
-  readonly room: BatchRoom;
-  readonly #waiting = new Map<string, WaitingRequest>();
+export class AdmissionController {
+  readonly slots: AdapterSlots;
+  readonly batch: BatchCapacity;
+  readonly #waitingRequests = new Map<string, WaitingRequest>();
   readonly #permits = new Map<string, Permit>();
   /** Daemons that the engine has turned away, and until when. */
-  readonly #backedOff = new Map<string, Milliseconds>();
+  readonly #backoffUntil = new Map<string, Milliseconds>();
   #answers: PermitAnswer[] = [];
-  #evictableFrom = Number.NEGATIVE_INFINITY;
-  readonly #pace = new RunPace();
+  #evictionAllowedAt = Number.NEGATIVE_INFINITY;
+  readonly #runEstimator = new RunEstimator();
 
-  constructor(places: AdapterPlaces, room: BatchRoom) {
-    this.places = places;
-    this.room = room;
+  constructor(places: AdapterSlots, room: BatchCapacity) {
+    this.slots = places;
+    this.batch = room;
   }
 
   countWaiting(): number {
-    return this.#waiting.size;
+    return this.#waitingRequests.size;
   }
 
   /** Returns the answers that are due, and forgets them. */
@@ -139,11 +139,11 @@
   /** Takes a request in; the answer comes now or later. */
   requestPermit(request: PermitRequest, now: Milliseconds): void {
     if (this.#permits.has(request.permitId)) {
-      this.#grantAgain(request);
+      this.#answerGrant(request);
       return;
     }
-    if (this.#waiting.has(request.permitId)) return;
-    const backoffMs = (this.#backedOff.get(request.holder) ?? now) - now;
+    if (this.#waitingRequests.has(request.permitId)) return;
+    const backoffMs = (this.#backoffUntil.get(request.holder) ?? now) - now;
     if (backoffMs > 0) {
       this.#answerDenial(request, DenialReason.Busy, backoffMs);
       return;
@@ -153,22 +153,22 @@
       this.#refuse(request, denial, now);
       return;
     }
-    this.#waiting.set(request.permitId, {
+    this.#waitingRequests.set(request.permitId, {
       request,
       arrivedAt: now,
       overdueAt: now + request.patienceMs,
     });
-    this.pump(now);
+    this.grantWaiting(now);
   }
 
   /** Starts with an engine whose runs are not known yet: nothing is evicted until they are. */
   beginAdoption(now: Milliseconds): void {
-    this.#evictableFrom = now + ADOPTION_MS;
+    this.#evictionAllowedAt = now + ADOPTION_TIMEOUT_MS;
   }
 
   /** Notes that every daemon has told of its runs. */
   endAdoption(now: Milliseconds): void {
-    this.#evictableFrom = Math.min(this.#evictableFrom, now);
+    this.#evictionAllowedAt = Math.min(this.#evictionAllowedAt, now);
   }
 
   /** Counts a run that an earlier holder permitted, or nobody. */
@@ -181,36 +181,36 @@
       grantedAt: undefined,
       hasFirstToken: true,
     });
-    this.room.adopt(permitId, permit, now);
-    const place = this.places.getPlace(adapterPath);
-    if (place) this.places.recordUse(place, permitId, now);
+    this.batch.admitPrefilled(permitId, permit, now);
+    const place = this.slots.getSlot(adapterPath);
+    if (place) this.slots.recordUse(place, permitId, now);
   }
 
   /** Gives back a permit whose run is over, and serves who waits for its place. */
   releasePermit(permitId: string, now: Milliseconds): void {
-    this.#waiting.delete(permitId);
+    this.#waitingRequests.delete(permitId);
     const permit = this.#permits.get(permitId);
     if (!permit) return;
     this.#permits.delete(permitId);
-    this.room.release(permitId);
+    this.batch.release(permitId);
     if (permit.hasFirstToken && permit.grantedAt !== undefined) {
-      this.#pace.recordRun(now - permit.grantedAt);
+      this.#runEstimator.recordRun(now - permit.grantedAt);
     }
-    const place = this.places.getPlace(permit.adapterPath);
-    place?.permits.delete(permitId);
+    const place = this.slots.getSlot(permit.adapterPath);
+    place?.permitIds.delete(permitId);
     if (place) place.lastUsedAt = Math.max(place.lastUsedAt, now);
-    if (place?.permits.size === 0) this.#pace.recordIdle(now);
-    this.pump(now);
+    if (place?.permitIds.size === 0) this.#runEstimator.recordSlotReleased(now);
+    this.grantWaiting(now);
   }
 
   recordFirstToken(permitId: string, now: Milliseconds): void {
-    this.places.recordLoadInTime(now);
+    this.slots.recordLoadOnTime(now);
     const permit = this.#permits.get(permitId);
-    const place = permit && this.places.getPlace(permit.adapterPath);
-    if (place) this.places.recordConfirmed(place);
+    const place = permit && this.slots.getSlot(permit.adapterPath);
+    if (place) this.slots.recordLoadConfirmed(place);
     if (permit) permit.hasFirstToken = true;
-    this.room.recordFirstToken(permitId, now);
-    this.pump(now);
+    this.batch.recordFirstToken(permitId, now);
+    this.grantWaiting(now);
   }
 
   /**
@@ -223,11 +223,11 @@
     now: Milliseconds,
   ): boolean {
     const permit = this.#permits.get(permitId);
-    const place = permit && this.places.getPlace(permit.adapterPath);
+    const place = permit && this.slots.getSlot(permit.adapterPath);
     const isLoadLate = place !== undefined &&
-      now - place.readyAt < LOAD_LATENESS_MS;
+      now - place.readyAt < MAX_LOAD_LATENESS_MS;
     if (isLoadLate && place.state === "resident") {
-      this.places.recordLoadLate(place, delayMs, now);
+      this.slots.recordLoadLate(place, delayMs, now);
     }
     this.releasePermit(permitId, now);
     return isLoadLate;
@@ -239,102 +239,102 @@
     backoffMs: Milliseconds,
     now: Milliseconds,
   ): void {
-    this.#backedOff.set(daemonId, now + backoffMs);
-    for (const [permitId, { request }] of this.#waiting) {
+    this.#backoffUntil.set(daemonId, now + backoffMs);
+    for (const [permitId, { request }] of this.#waitingRequests) {
       if (request.holder !== daemonId) continue;
-      this.#waiting.delete(permitId);
+      this.#waitingRequests.delete(permitId);
       this.#answerDenial(request, DenialReason.Busy, backoffMs);
     }
   }
 
   tick(now: Milliseconds): void {
-    this.places.completeLoads(now);
-    for (const [daemonId, until] of this.#backedOff) {
-      if (until <= now) this.#backedOff.delete(daemonId);
+    this.slots.completeLoads(now);
+    for (const [daemonId, until] of this.#backoffUntil) {
+      if (until <= now) this.#backoffUntil.delete(daemonId);
     }
     for (const [permitId, permit] of this.#permits) {
       if (permit.expiresAt <= now) this.releasePermit(permitId, now);
     }
-    for (const [permitId, waiting] of this.#waiting) {
+    for (const [permitId, waiting] of this.#waitingRequests) {
       if (waiting.overdueAt > now) continue;
-      this.#waiting.delete(permitId);
+      this.#waitingRequests.delete(permitId);
       this.#refuse(waiting.request, DenialReason.Overdue, now);
     }
-    this.pump(now);
+    this.grantWaiting(now);
   }
 
   /** Returns when the desk has to look again: a load is done, or a wait ends. */
-  getNextDueAt(): Milliseconds {
+  getNextTickAt(): Milliseconds {
     let dueAt = Number.POSITIVE_INFINITY;
-    for (const place of this.places.listPlaces()) {
+    for (const place of this.slots.listSlots()) {
       if (place.state === "loading") dueAt = Math.min(dueAt, place.readyAt);
     }
-    for (const { overdueAt } of this.#waiting.values()) {
+    for (const { overdueAt } of this.#waitingRequests.values()) {
       dueAt = Math.min(dueAt, overdueAt);
     }
     return dueAt;
   }
 
   /** Grants every place that is free, the most urgent request first. */
-  pump(now: Milliseconds): void {
+  grantWaiting(now: Milliseconds): void {
     for (const { request } of this.#listWaiting(now)) {
-      if (!this.#isUsable(request)) continue;
-      const isFree = this.room.hasRoomFor(request) &&
-        this.room.estimateBacklogMs(now) <= MAX_BACKLOG_MS;
+      if (!this.#isAdapterReady(request)) continue;
+      const isFree = this.batch.hasCapacityFor(request) &&
+        this.batch.estimatePrefillBacklogMs(now) <= MAX_PREFILL_BACKLOG_MS;
       if (isFree) this.#grant(request, now);
     }
   }
 
   /** Returns the next order that would let a waiting request run, or undefined. */
-  findWantedOrder(
+  findNextOrder(
     canFetch: boolean,
     now: Milliseconds,
-  ): WantedOrder | undefined {
-    if (this.places.countComing() >= MAX_COMING) return undefined;
+  ): EngineOrder | undefined {
+    if (this.slots.countLoading() >= MAX_LOADING) return undefined;
     for (const { request } of this.#listWaiting(now)) {
       const { adapterPath, model, adapter, version } = request;
-      if (adapter === "" || this.#isUsable(request)) continue;
-      const place = this.places.getPlace(adapterPath);
+      if (adapter === "" || this.#isAdapterReady(request)) continue;
+      const place = this.slots.getSlot(adapterPath);
       if (place && place.state !== "resident") continue;
-      if (!canFetch && this.places.isFetch(adapterPath)) continue;
-      const load: WantedOrder = {
+      if (!canFetch && this.slots.needsFetch(adapterPath)) continue;
+      const load: EngineOrder = {
         kind: "load",
         model,
         adapter,
         adapterPath,
         version,
       };
-      if (place || this.places.hasRoom()) return load;
-      const evictable = this.#findEvictable(now);
-      if (evictable) return buildEviction(evictable.adapterPath);
+      if (place || this.slots.hasFreeSlot()) return load;
+      const evictable = this.#findEvictionVictim(now);
+      if (evictable) return buildEvictionOrder(evictable.adapterPath);
     }
     return undefined;
   }
 
   /** Returns the idle adapters that may be evicted now. */
-  listEvictable(now: Milliseconds): Place[] {
-    return now < this.#evictableFrom ? [] : this.places.listIdle(now);
+  listEvictable(now: Milliseconds): AdapterSlot[] {
+    return now < this.#evictionAllowedAt ? [] : this.slots.listIdle(now);
   }
 
   /** Denies all that waits, when the engine is given up. */
   refuseAll(reason: DenialReason, now: Milliseconds): void {
-    for (const { request } of this.#waiting.values()) {
+    for (const { request } of this.#waitingRequests.values()) {
       this.#refuse(request, reason, now);
     }
-    this.#waiting.clear();
+    this.#waitingRequests.clear();
   }
 
   /** Forgets every permit, when the engine restarted and runs nothing. */
   clearPermits(): void {
     this.#permits.clear();
-    this.room.clear();
+    this.batch.clear();
   }
 
   /** Returns who waits: first those whose first token can still be in time, of these the most urgent, then the longest waiting. */
   #listWaiting(now: Milliseconds): WaitingRequest[] {
-    const ranked = [...this.#waiting.values()].map((waiting) => ({
+    const ranked = [...this.#waitingRequests.values()].map((waiting) => ({
       waiting,
-      lateRank: this.#canBeInTime(waiting, now) ? 0 : 1,
+      lateRank: this.#canMeetDeadline(waiting, now) ? 0 : 1,
     }));
     ranked.sort((a, b) =>
       a.lateRank - b.lateRank ||
@@ -344,24 +344,24 @@
     return ranked.map((each) => each.waiting);
   }
 
-  #canBeInTime(
+  #canMeetDeadline(
     { request, arrivedAt }: WaitingRequest,
     now: Milliseconds,
   ): boolean {
     const { adapterPath, adapter } = request;
-    const place = this.places.getPlace(adapterPath);
+    const place = this.slots.getSlot(adapterPath);
     const loadMs = adapter === ""
       ? 0
       : place
       ? Math.max(0, place.readyAt - now)
-      : this.places.estimateLoadMs(adapterPath);
-    const firstTokenAt = now + loadMs + this.room.estimateOwnPrefillMs(request);
+      : this.slots.estimateLoadMs(adapterPath);
+    const firstTokenAt = now + loadMs + this.batch.estimatePrefillMs(request);
     return firstTokenAt <= arrivedAt + request.firstTokenBudgetMs;
   }
 
-  #isUsable(request: PermitRequest): boolean {
+  #isAdapterReady(request: PermitRequest): boolean {
     if (request.adapter === "") return true;
-    const place = this.places.getPlace(request.adapterPath);
+    const place = this.slots.getSlot(request.adapterPath);
     return place?.state === "resident" && hasVersion(place, request.version);
   }
 
@@ -373,26 +373,29 @@
     request: PermitRequest,
     now: Milliseconds,
   ): DenialReason | undefined {
-    const { localMs, loadMs, storeMs } = this.#estimateWaits(request, now);
+    const { localMs, loadMs, storeQueueMs: storeMs } = this.#estimateWaits(
+      request,
+      now,
+    );
     if (request.isLastChoice) {
       const placeMs = Math.max(localMs, loadMs + storeMs);
       return placeMs > request.patienceMs ? DenialReason.Busy : undefined;
     }
     const { firstTokenBudgetMs } = request;
     const hereMs = Math.max(localMs, loadMs) +
-      this.room.estimateOwnPrefillMs(request);
-    const isLate = hereMs > SPREAD_SHARE * firstTokenBudgetMs &&
-      localMs > MOVE_SHARE * firstTokenBudgetMs;
+      this.batch.estimatePrefillMs(request);
+    const isLate = hereMs > SPILLOVER_TOTAL_FRACTION * firstTokenBudgetMs &&
+      localMs > SPILLOVER_LOCAL_FRACTION * firstTokenBudgetMs;
     if (!isLate) return undefined;
-    return this.#needsSlot(request, now)
+    return this.#isBlockedOnSlot(request, now)
       ? DenialReason.SlotsInUse
       : DenialReason.Busy;
   }
 
-  #findEvictable(now: Milliseconds): Place | undefined {
-    return now < this.#evictableFrom
+  #findEvictionVictim(now: Milliseconds): AdapterSlot | undefined {
+    return now < this.#evictionAllowedAt
       ? undefined
-      : this.places.findEvictable(now);
+      : this.slots.findEvictionVictim(now);
   }
 
   /** Returns when the request's first token is expected, were it sent here. */
@@ -400,86 +403,89 @@
     request: PermitRequest,
     now: Milliseconds,
   ): Milliseconds {
-    const { localMs, loadMs, storeMs } = this.#estimateWaits(request, now);
+    const { localMs, loadMs, storeQueueMs: storeMs } = this.#estimateWaits(
+      request,
+      now,
+    );
     return Math.max(localMs, loadMs + storeMs) +
-      this.room.estimateOwnPrefillMs(request);
+      this.batch.estimatePrefillMs(request);
   }
 
   #estimateWaits(request: PermitRequest, now: Milliseconds): WaitEstimate {
-    const readMs = this.room.estimateBacklogMs(now) +
-      this.#sumWaitingPrefillMs(request);
-    const fullMs = this.room.hasRoomFor(request)
+    const readMs = this.batch.estimatePrefillBacklogMs(now) +
+      this.#estimateQueuedPrefillMs(request);
+    const fullMs = this.batch.hasCapacityFor(request)
       ? 0
-      : this.#pace.runMs / Math.max(1, this.room.countRunning());
+      : this.#runEstimator.meanRunMs / Math.max(1, this.batch.countRunning());
     const busyMs = Math.max(readMs, fullMs);
-    if (!this.#isAbsent(request)) {
-      const place = this.places.getPlace(request.adapterPath);
+    if (!this.#needsLoad(request)) {
+      const place = this.slots.getSlot(request.adapterPath);
       const loadMs = place?.state === "loading"
         ? Math.max(0, place.readyAt - now)
         : 0;
-      return { localMs: busyMs, loadMs, storeMs: 0 };
+      return { localMs: busyMs, loadMs, storeQueueMs: 0 };
     }
     const { adapterPath } = request;
-    const before = this.#countWaitingAbsent(request);
-    const slotMs = this.#needsSlot(request, now)
-      ? this.#pace.idleIntervalMs * (1 + before)
+    const before = this.#countLoadsAhead(request);
+    const slotMs = this.#isBlockedOnSlot(request, now)
+      ? this.#runEstimator.slotReleaseIntervalMs * (1 + before)
       : 0;
     const waitMs = Math.max(
       slotMs,
-      this.places.estimateOwnQueueMs(adapterPath, before),
+      this.slots.estimateEngineQueueMs(adapterPath, before),
     );
     return {
       localMs: Math.max(busyMs, waitMs),
-      loadMs: waitMs + this.places.estimateLoadMs(adapterPath),
-      storeMs: this.places.estimateStoreQueueMs(adapterPath),
+      loadMs: waitMs + this.slots.estimateLoadMs(adapterPath),
+      storeQueueMs: this.slots.estimateStoreQueueMs(adapterPath),
     };
   }
 
   /** Returns whether the request's adapter is neither here nor on its way. */
-  #isAbsent({ adapter, adapterPath }: PermitRequest): boolean {
-    return adapter !== "" && this.places.getPlace(adapterPath) === undefined;
+  #needsLoad({ adapter, adapterPath }: PermitRequest): boolean {
+    return adapter !== "" && this.slots.getSlot(adapterPath) === undefined;
   }
 
-  #needsSlot(request: PermitRequest, now: Milliseconds): boolean {
-    return this.#isAbsent(request) && !this.places.hasRoom() &&
-      this.#findEvictable(now) === undefined;
+  #isBlockedOnSlot(request: PermitRequest, now: Milliseconds): boolean {
+    return this.#needsLoad(request) && !this.slots.hasFreeSlot() &&
+      this.#findEvictionVictim(now) === undefined;
   }
 
   /** Counts the other adapters that wait for a load here. */
-  #countWaitingAbsent(request: PermitRequest): number {
+  #countLoadsAhead(request: PermitRequest): number {
     const absent = new Set<string>();
-    for (const { request: other } of this.#waiting.values()) {
+    for (const { request: other } of this.#waitingRequests.values()) {
       const isOther = other.adapterPath !== request.adapterPath;
-      if (isOther && this.#isAbsent(other)) absent.add(other.adapterPath);
+      if (isOther && this.#needsLoad(other)) absent.add(other.adapterPath);
     }
     return absent.size;
   }
 
-  #sumWaitingPrefillMs(request: PermitRequest): Milliseconds {
+  #estimateQueuedPrefillMs(request: PermitRequest): Milliseconds {
     let sum = 0;
-    for (const waiting of this.#waiting.values()) {
+    for (const waiting of this.#waitingRequests.values()) {
       const isBefore = waiting.request.priorityRank <= request.priorityRank;
-      if (isBefore) sum += this.room.estimateOwnPrefillMs(waiting.request);
+      if (isBefore) sum += this.batch.estimatePrefillMs(waiting.request);
     }
     return sum;
   }
 
   #grant(request: PermitRequest, now: Milliseconds): void {
     const { permitId, adapterPath } = request;
-    this.#waiting.delete(permitId);
+    this.#waitingRequests.delete(permitId);
     this.#permits.set(permitId, {
       adapterPath,
       expiresAt: now + request.lifetimeMs,
       grantedAt: now,
       hasFirstToken: false,
     });
-    this.room.admit(permitId, request, now);
-    const place = this.places.getPlace(adapterPath);
-    if (place) this.places.recordUse(place, permitId, now);
-    this.#grantAgain(request);
+    this.batch.admit(permitId, request, now);
+    const place = this.slots.getSlot(adapterPath);
+    if (place) this.slots.recordUse(place, permitId, now);
+    this.#answerGrant(request);
   }
 
-  #grantAgain({ permitId, holder }: PermitRequest): void {
+  #answerGrant({ permitId, holder }: PermitRequest): void {
     this.#answers.push({ kind: "granted", permitId, holder });
   }
 
@@ -511,13 +517,13 @@
 }
 
 /** A version that was not told fits any; the engine itself checks a declared one. */
-function hasVersion(place: Place, version: number | undefined): boolean {
+function hasVersion(place: AdapterSlot, version: number | undefined): boolean {
   return version === undefined || place.version === undefined ||
     place.version >= version;
 }
 
 /** Returns the eviction of an adapter, named as `model/adapter`. */
-export function buildEviction(adapterPath: string): WantedOrder {
+export function buildEvictionOrder(adapterPath: string): EngineOrder {
   const separator = adapterPath.indexOf("/");
   return {
     kind: "evict",
--- a/src/core/admission/place_patience.ts
+++ b/src/core/admission/place_patience.ts
@@ -7,19 +7,19 @@
 import type { Milliseconds } from "../structures.ts";
 
 /** Callers leave a stream after this many objectives without an event: the users' pages. */
-const ABANDON_OBJECTIVES = 4;
+const ABANDON_LATENCY_OBJECTIVES = 4;
 /** They stay this long at the least: the users' pages. */
 const MIN_ABANDON_MS = 2_000;
 /** They stay for this many of the longest pauses between events for which a stream is in time: the users' pages. */
-const ABANDON_PAUSES = 8;
+const ABANDON_INTER_TOKEN_OBJECTIVES = 8;
 /** Time that the engine takes from the place to the first event, in a busy batch. */
-const FIRST_EVENT_MS = 600;
+const GRANT_TO_FIRST_EVENT_MS = 600;
 /** Part of the time left that a place is waited for, when the first token will be late. */
-const LATE_SHARE = 0.25;
+const LATE_WAIT_FRACTION = 0.25;
 /** Shortest wait: a load of an adapter that the engine held lately takes this long. */
-const MIN_PATIENCE_MS = 60;
+const MIN_WAIT_MS = 60;
 
-export function computePlacePatienceMs(
+export function computeMaxPermitWaitMs(
   request: {
     latencyObjectiveMs: Milliseconds;
     pauseObjectiveMs: Milliseconds;
@@ -29,16 +29,16 @@
 ): Milliseconds {
   const { latencyObjectiveMs, pauseObjectiveMs, elapsedMs, remainingMs } =
     request;
-  const abandonedAtMs = Math.max(
+  const abandonAfterMs = Math.max(
     MIN_ABANDON_MS,
-    ABANDON_OBJECTIVES * latencyObjectiveMs,
-    ABANDON_PAUSES * pauseObjectiveMs,
+    ABANDON_LATENCY_OBJECTIVES * latencyObjectiveMs,
+    ABANDON_INTER_TOKEN_OBJECTIVES * pauseObjectiveMs,
   );
-  const presentMs = abandonedAtMs - FIRST_EVENT_MS - elapsedMs;
-  const worthMs = Math.max(
+  const servableMs = abandonAfterMs - GRANT_TO_FIRST_EVENT_MS - elapsedMs;
+  const usefulWaitMs = Math.max(
     latencyObjectiveMs - elapsedMs,
-    LATE_SHARE * remainingMs,
+    LATE_WAIT_FRACTION * remainingMs,
   );
-  const patienceMs = Math.min(worthMs, presentMs, remainingMs);
-  return Math.max(MIN_PATIENCE_MS, patienceMs);
+  const waitMs = Math.min(usefulWaitMs, servableMs, remainingMs);
+  return Math.max(MIN_WAIT_MS, waitMs);
 }
--- a/src/core/admission/refusal_advice.ts
+++ b/src/core/admission/refusal_advice.ts
@@ -8,21 +8,25 @@
 import type { Milliseconds } from "../structures.ts";
 
 /** Callers honour a wait of up to a third of the time that they have left. */
-const HONOURED_SHARE = 1 / 3;
+const MAX_REMAINING_FRACTION = 1 / 3;
 /** Earliest return: an answer sooner than that would find the same state. */
-const MIN_WAIT_MS = 80;
+const MIN_RETRY_AFTER_MS = 80;
 /** Width of the spread, as a part of the wait. */
-const SPREAD = 0.5;
+const JITTER_FRACTION = 0.5;
 
 export function computeRetryAfterMs(
   refusal: {
     requestId: string;
-    expectedMs: Milliseconds;
+    expectedWaitMs: Milliseconds;
     remainingMs: Milliseconds;
   },
 ): Milliseconds {
-  const { requestId, expectedMs, remainingMs } = refusal;
-  const spread = 1 + SPREAD * (hashText(requestId) / 0x1_0000_0000);
-  const wantedMs = Math.max(MIN_WAIT_MS, expectedMs) * spread;
-  return Math.min(wantedMs, Math.max(0, remainingMs) * HONOURED_SHARE);
+  const { requestId, expectedWaitMs: expectedMs, remainingMs } = refusal;
+  const jitterFactor = 1 +
+    JITTER_FRACTION * (hashText(requestId) / 0x1_0000_0000);
+  const jitteredMs = Math.max(MIN_RETRY_AFTER_MS, expectedMs) * jitterFactor;
+  return Math.min(
+    jitteredMs,
+    Math.max(0, remainingMs) * MAX_REMAINING_FRACTION,
+  );
 }
--- a/src/core/admission/stop_admission.ts
+++ b/src/core/admission/stop_admission.ts
@@ -7,11 +7,11 @@
 import type { Milliseconds } from "../structures.ts";
 
 /** Time that one generated token takes in a full batch. */
-const TOKEN_MS = 9;
+const OUTPUT_TOKEN_MS = 9;
 /** Prompt tokens read in a millisecond, with others' work in between. */
 const PROMPT_TOKENS_PER_MS = 12;
 /** Objectives within which a request to a plain service is over. */
-const SERVICE_OBJECTIVES = 3;
+const SERVICE_LATENCY_OBJECTIVES = 3;
 /** Added for waiting and ways. */
 const SLACK_MS = 700;
 
@@ -24,9 +24,9 @@
 const GENERATION_WINDOW_MS = 2_500;
 
 /** Returns whether a daemon that has been told to stop still takes a request. */
-export function canTakeWhileStopping(
+export function canAdmitWhileStopping(
   stop: { beganAt: Milliseconds; endsAt: Milliseconds },
-  request: StopRequest,
+  request: RequestWork,
   now: Milliseconds,
 ): boolean {
   const isWindowOver = now - stop.beganAt > GENERATION_WINDOW_MS;
@@ -35,7 +35,7 @@
 }
 
 /** What a request takes. */
-export interface StopRequest {
+export interface RequestWork {
   isGeneration: boolean;
   promptTokens: number;
   outputTokens: number;
@@ -44,12 +44,12 @@
 
 export function canFinishBefore(
   endsAt: Milliseconds,
-  request: StopRequest,
+  request: RequestWork,
   now: Milliseconds,
 ): boolean {
   const workMs = request.isGeneration
     ? request.promptTokens / PROMPT_TOKENS_PER_MS +
-      request.outputTokens * TOKEN_MS
-    : SERVICE_OBJECTIVES * request.latencyObjectiveMs;
+      request.outputTokens * OUTPUT_TOKEN_MS
+    : SERVICE_LATENCY_OBJECTIVES * request.latencyObjectiveMs;
   return now + workMs + SLACK_MS <= endsAt;
 }
--- a/src/core/admission/undelivered_returns.ts
+++ b/src/core/admission/undelivered_returns.ts
@@ -6,9 +6,9 @@
  */
 import type { Milliseconds } from "../structures.ts";
 
-export interface UndeliveredReturn<Message> {
+export interface UndeliveredRelease<Message> {
   message: Message;
-  holderId: string;
+  ownerId: string;
   /** When the holder takes the permit back by itself. */
   expiresAt: Milliseconds;
 }
@@ -16,32 +16,35 @@
 /** Time between two sendings of one return: the sending itself is repeated for a quarter of a second. */
 const RETRY_INTERVAL_MS = 500;
 /** Returns that are kept: more than a host has runs. */
-const MAX_KEPT = 1_000;
+const MAX_QUEUED = 1_000;
 
-export class UndeliveredReturns<Message> {
-  #kept: { due: UndeliveredReturn<Message>; retryAt: Milliseconds }[] = [];
+export class PermitReleaseRetryQueue<Message> {
+  #queue: { release: UndeliveredRelease<Message>; retryAt: Milliseconds }[] =
+    [];
 
   /** Keeps a return that was not delivered, while it is worth anything. */
-  recordSending(
-    due: UndeliveredReturn<Message>,
+  recordSend(
+    due: UndeliveredRelease<Message>,
     isDelivered: boolean,
     now: Milliseconds,
   ): void {
-    if (isDelivered || due.expiresAt <= now || this.#kept.length >= MAX_KEPT) {
+    if (
+      isDelivered || due.expiresAt <= now || this.#queue.length >= MAX_QUEUED
+    ) {
       return;
     }
-    this.#kept.push({ due, retryAt: now + RETRY_INTERVAL_MS });
+    this.#queue.push({ release: due, retryAt: now + RETRY_INTERVAL_MS });
   }
 
   /** Returns those that are to be sent again now, and keeps them no more. */
   takeDue(
-    isLiving: (holderId: string) => boolean,
+    isAlive: (holderId: string) => boolean,
     now: Milliseconds,
-  ): UndeliveredReturn<Message>[] {
-    const worth = this.#kept.filter(({ due }) => due.expiresAt > now);
-    const isDue = ({ due, retryAt }: (typeof worth)[number]) =>
-      retryAt <= now && isLiving(due.holderId);
-    this.#kept = worth.filter((each) => !isDue(each));
-    return worth.filter(isDue).map(({ due }) => due);
+  ): UndeliveredRelease<Message>[] {
+    const worth = this.#queue.filter(({ release: due }) => due.expiresAt > now);
+    const isDue = ({ release: due, retryAt }: (typeof worth)[number]) =>
+      retryAt <= now && isAlive(due.ownerId);
+    this.#queue = worth.filter((each) => !isDue(each));
+    return worth.filter(isDue).map(({ release: due }) => due);
   }
 }
--- a/src/core/ordering/engine_holder.ts
+++ b/src/core/ordering/engine_holder.ts
@@ -3,16 +3,16 @@
  * should hold it, keeps its desk while it does, and gives it up to another.
  * Events go in with the present time, effects come out.
  */
-import { BatchRoom } from "../admission/batch_room.ts";
+import { BatchCapacity } from "../admission/batch_room.ts";
 import {
+  AdmissionController,
   type AdoptedRun,
   DenialReason,
-  EngineDesk,
+  type EngineOrder,
   type PermitAnswer,
   type PermitRequest,
-  type WantedOrder,
 } from "../admission/engine_desk.ts";
-import { AdapterPlaces } from "../placement/adapter_places.ts";
+import { AdapterSlots } from "../placement/adapter_places.ts";
 import type { FetchShare } from "../placement/fetch_window.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { EngineLimits } from "../view/published_view.ts";
@@ -50,7 +50,7 @@
   | {
     kind: "giveOrder";
     engineId: string;
-    order: WantedOrder;
+    order: EngineOrder;
     fence: number;
     expectedSequence: number;
   }
@@ -95,13 +95,13 @@
 export class EngineHolder {
   readonly #options: EngineHolderOptions;
   readonly #tenure: OrderTenure;
-  readonly desk: EngineDesk;
+  readonly desk: AdmissionController;
   readonly #planner: OrderPlanner;
   #observed: HeldReport | undefined;
   #isReading = false;
   #lastReadAt = Number.NEGATIVE_INFINITY;
   #ordered:
-    | { order: WantedOrder; evidence: OrderEvidence; sentAt: Milliseconds }
+    | { order: EngineOrder; evidence: OrderEvidence; sentAt: Milliseconds }
     | undefined;
   #nextOrderAt = Number.NEGATIVE_INFINITY;
   #lastOrderAt = Number.NEGATIVE_INFINITY;
@@ -122,9 +122,9 @@
     this.#options = options;
     this.#limits = options.limits;
     this.#tenure = new OrderTenure({ termMs: options.termMs });
-    this.desk = new EngineDesk(
-      new AdapterPlaces(options.limits.adapterSlots),
-      new BatchRoom(options.limits),
+    this.desk = new AdmissionController(
+      new AdapterSlots(options.limits.adapterSlots),
+      new BatchCapacity(options.limits),
     );
     this.#planner = new OrderPlanner(options, this.#tenure, this.desk);
   }
@@ -149,13 +149,13 @@
 
   setLimits(limits: EngineLimits): void {
     this.#limits = limits;
-    this.desk.places.setCapacity(limits.adapterSlots);
-    this.desk.room.setLimits(limits);
+    this.desk.slots.setCapacity(limits.adapterSlots);
+    this.desk.batch.setLimits(limits);
   }
 
   /** Counts loads from the weight store that are on their way. */
   countComing(): number {
-    return this.isHolding() ? this.desk.places.countComing() : 0;
+    return this.isHolding() ? this.desk.slots.countLoading() : 0;
   }
 
   /** Takes a request for a place in; only a daemon that holds the engine may. */
@@ -222,7 +222,7 @@
         ];
       case "restarted":
         this.desk.clearPermits();
-        this.desk.places.clear();
+        this.desk.slots.clear();
         this.#planner.recordRight(!this.#tenure.isYoung(now), now);
         this.#recordHeld(report, now);
         return [this.#describeBelief("engineRestarted", {})];
@@ -289,7 +289,7 @@
     if (!this.isHolding()) return Number.POSITIVE_INFINITY;
     const hasWork = this.desk.countWaiting() > 0;
     const orderAt = hasWork ? this.#nextOrderAt : Number.POSITIVE_INFINITY;
-    return Math.min(this.desk.getNextDueAt(), orderAt);
+    return Math.min(this.desk.getNextTickAt(), orderAt);
   }
 
   /** Serves the queue and gives the next order, without waiting for the tick. */
@@ -327,7 +327,7 @@
         // Longer ages say no more than this one, and infinity can't be sent.
         acceptedAgeMs: Math.min(now - state.acceptedAt, MAX_ACCEPTED_AGE_MS),
         models: [...this.#models],
-        adapters: this.desk.places.listPlaces().map((
+        adapters: this.desk.slots.listSlots().map((
           place,
         ): TenureHandover["adapters"][number] => [
           place.adapterPath,
@@ -363,14 +363,14 @@
   describe(): object {
     return {
       tenure: this.#tenure.state,
-      places: this.desk.places.listPlaces().map((place) => ({
+      places: this.desk.slots.listSlots().map((place) => ({
         adapter: place.adapterPath,
         version: place.version,
         state: place.state,
-        permits: place.permits.size,
+        permits: place.permitIds.size,
       })),
       waiting: this.desk.countWaiting(),
-      running: this.desk.room.countRunning(),
+      running: this.desk.batch.countRunning(),
     };
   }
 
@@ -391,7 +391,7 @@
 
   /** Starts with an engine whose adapters are to be noted, and whose runs nobody has told yet. */
   #takeOver(now: Milliseconds): void {
-    this.desk.places.clear();
+    this.desk.slots.clear();
     this.desk.beginAdoption(now);
     this.#adoption.begin(this.#peers);
   }
@@ -405,9 +405,9 @@
       this.#isEnding ||
       this.#isInDoubt || now < this.#nextOrderAt;
     if (isBlocked) return [];
-    this.desk.places.setFetchShare(situation.fetchShare);
+    this.desk.slots.setFetchShare(situation.fetchShare);
     const wanted = this.#findMissingModel() ??
-      this.desk.findWantedOrder(situation.fetchShare.canFetch, now);
+      this.desk.findNextOrder(situation.fetchShare.canFetch, now);
     const planned = wanted &&
       this.#planner.plan(wanted, situation.hearsMajority, now);
     this.#isVerificationDue = planned !== undefined &&
@@ -428,7 +428,7 @@
   }
 
   /** Returns the load of a base model that the engine lacks and has room for. */
-  #findMissingModel(): WantedOrder | undefined {
+  #findMissingModel(): EngineOrder | undefined {
     const { models, weightsMb } = this.#limits;
     const heldMb = models.filter((model) => this.#models.has(model.name))
       .reduce((sum, model) => sum + model.weightsMb, 0);
@@ -445,11 +445,11 @@
   }
 
   #applyOrder(
-    order: WantedOrder,
+    order: EngineOrder,
     isDraining: boolean,
     now: Milliseconds,
   ): void {
-    const { places } = this.desk;
+    const { slots: places } = this.desk;
     if (isDraining) places.recordDraining(order.adapterPath);
     else if (order.kind === "evict") places.recordEvicted(order.adapterPath);
     else if (order.adapter !== "") {
@@ -469,7 +469,7 @@
   ): void {
     this.#models.clear();
     for (const model of held.models) this.#models.add(model);
-    this.desk.places.reconcile(held.adapters, now);
+    this.desk.slots.reconcile(held.adapters, now);
   }
 
   #needsReport(now: Milliseconds): boolean {
@@ -481,8 +481,8 @@
       return true;
     }
     if (!this.isHolding() || this.#ordered) return false;
-    return this.#isInDoubt || this.desk.places.hasOverdueLoad(now) ||
-      this.desk.places.hasDraining();
+    return this.#isInDoubt || this.desk.slots.hasOverdueLoad(now) ||
+      this.desk.slots.hasDraining();
   }
 
   /** Believes the report where it is newer than every order. */
@@ -494,7 +494,7 @@
     if (!isNewer || !isSame) return;
     this.#isInDoubt = false;
     this.#recordHeld(report, now);
-    this.desk.pump(now);
+    this.desk.grantWaiting(now);
   }
 
   #giveUp(now: Milliseconds): HolderEffect[] {
@@ -504,7 +504,7 @@
   }
 
   #dropDesk(now: Milliseconds): HolderEffect[] {
-    this.desk.refuseAll(DenialReason.NotHolder, now);
+    this.desk.refuseAll(DenialReason.NotOwner, now);
     this.desk.clearPermits();
     this.#observed = undefined;
     this.#isInDoubt = false;
--- a/src/core/ordering/order_planner.ts
+++ b/src/core/ordering/order_planner.ts
@@ -4,7 +4,10 @@
  * first that proves the right to give more, and where rivals may give one too,
  * each gives its own, or they give it in turns.
  */
-import type { EngineDesk, WantedOrder } from "../admission/engine_desk.ts";
+import type {
+  AdmissionController,
+  EngineOrder,
+} from "../admission/engine_desk.ts";
 import type { Milliseconds } from "../structures.ts";
 import { CONTESTED_WINDOW_MS, type OrderTenure } from "./order_tenure.ts";
 import { selectProvingOrder } from "./proving_order.ts";
@@ -18,7 +21,7 @@
 
 /** An order that is due, and what its acceptance will be worth. */
 export interface PlannedOrder {
-  order: WantedOrder;
+  order: EngineOrder;
   /** Whether a rival may give one too, so that the engine is looked at right before. */
   isContested: boolean;
   /** Whether a rival's would be accepted too, also after this one. */
@@ -36,7 +39,7 @@
 export class OrderPlanner {
   readonly #options: OrderPlannerOptions;
   readonly #tenure: OrderTenure;
-  readonly #desk: EngineDesk;
+  readonly #desk: AdmissionController;
   /** When the engine was claimed, handed over or found restarted. */
   #heldSince = Number.NEGATIVE_INFINITY;
   /** Whether others may have taken the engine over at the same time. */
@@ -47,7 +50,7 @@
   constructor(
     options: OrderPlannerOptions,
     tenure: OrderTenure,
-    desk: EngineDesk,
+    desk: AdmissionController,
   ) {
     this.#options = options;
     this.#tenure = tenure;
@@ -70,7 +73,7 @@
    * @param hearsMajority whether this daemon hears most of those that it knows.
    */
   plan(
-    wanted: WantedOrder,
+    wanted: EngineOrder,
     hearsMajority: boolean,
     now: Milliseconds,
   ): PlannedOrder | undefined {
@@ -113,7 +116,7 @@
     now: Milliseconds,
   ): PlannedOrder | undefined {
     const { selfId, selectOwnAdapter, listRivals } = this.#options;
-    const { places } = this.#desk;
+    const { slots: places } = this.#desk;
     const isPatienceOver = now - this.#heldSince > PROOF_PATIENCE_MS;
     const order = selectProvingOrder({
       selfId,
@@ -124,13 +127,13 @@
       ownAdapter: selectOwnAdapter(model),
       idlePaths: this.#desk.listEvictable(now)
         .map((place) => place.adapterPath),
-      hasRoom: places.hasRoom(),
-      isHeld: (adapterPath) => places.getPlace(adapterPath) !== undefined,
+      hasRoom: places.hasFreeSlot(),
+      isHeld: (adapterPath) => places.getSlot(adapterPath) !== undefined,
     });
     return order && { order, isContested: true, isBlind: false };
   }
 }
 
-function createPlainOrder(order: WantedOrder): PlannedOrder {
+function createPlainOrder(order: EngineOrder): PlannedOrder {
   return { order, isContested: false, isBlind: false };
 }
--- a/src/core/ordering/proving_order.ts
+++ b/src/core/ordering/proving_order.ts
@@ -6,7 +6,10 @@
  * at once must not give the same order: the adapters to evict are divided among
  * those that are likely to, and each has an adapter of its own to load.
  */
-import { buildEviction, type WantedOrder } from "../admission/engine_desk.ts";
+import {
+  buildEvictionOrder,
+  type EngineOrder,
+} from "../admission/engine_desk.ts";
 import { findRendezvousWinner } from "../hashing.ts";
 import { formatAdapterPath } from "../placement/adapter_path.ts";
 
@@ -31,7 +34,7 @@
 /** Returns the order, or undefined while the engine has no room and nothing idle that may go. */
 export function selectProvingOrder(
   situation: ProvingSituation,
-): WantedOrder | undefined {
+): EngineOrder | undefined {
   const { model, ownAdapter, hasRoom, isHeld } = situation;
   const ownPath = formatAdapterPath(model, ownAdapter ?? "");
   if (ownAdapter !== undefined && hasRoom && !isHeld(ownPath)) {
@@ -59,7 +62,7 @@
 function selectVictim(
   { selfId }: ProvingSituation,
   paths: readonly string[],
-): WantedOrder | undefined {
+): EngineOrder | undefined {
   const victim = findRendezvousWinner(selfId, paths.map((id) => ({ id })))?.id;
-  return victim === undefined ? undefined : buildEviction(victim);
+  return victim === undefined ? undefined : buildEvictionOrder(victim);
 }
--- a/src/core/placement/adapter_demand.ts
+++ b/src/core/placement/adapter_demand.ts
@@ -11,24 +11,24 @@
 export interface DemandSample {
   adapterPath: string;
   /** Prompt tokens that no other request shares. */
-  ownTokens: number;
+  unsharedPromptTokens: number;
 }
 
 /** How much an adapter is asked for at this host, decayed. */
-export interface AdapterRate {
+export interface AdapterDemandRate {
   requestsPerMs: number;
   tokensPerMs: number;
 }
 
 /** Time in which a request loses half of its weight: long against a run, short against changes of demand. */
 const HALF_LIFE_MS = 5_000;
-const MEAN_LIFE_MS = HALF_LIFE_MS / Math.LN2;
+const TIME_CONSTANT_MS = HALF_LIFE_MS / Math.LN2;
 /** Decayed requests below which no rate is told: a host of a large fleet sees so few that one or two say nothing. */
-const LEAST_TELLING = 3;
+const MIN_SIGNIFICANT_REQUESTS = 3;
 /** Adapters that are remembered; those that are asked for least are forgotten first. */
-const MAX_REMEMBERED = 1_000;
+const MAX_TRACKED_ADAPTERS = 1_000;
 /** Decayed requests below which an adapter is forgotten. */
-const FORGET_BELOW = 0.05;
+const MIN_TRACKED_REQUESTS = 0.05;
 
 interface Demand {
   requests: number;
@@ -40,9 +40,9 @@
   readonly #demands = new Map<string, Demand>();
 
   recordRequest(sample: DemandSample, now: Milliseconds): void {
-    const { adapterPath, ownTokens } = sample;
+    const { adapterPath, unsharedPromptTokens: ownTokens } = sample;
     const before = this.#demands.get(adapterPath);
-    const kept = before ? computeKept(before, now) : 0;
+    const kept = before ? computeDemandDecay(before, now) : 0;
     // The last one asked for comes last, so that the first is the oldest.
     this.#demands.delete(adapterPath);
     this.#demands.set(adapterPath, {
@@ -50,32 +50,32 @@
       tokens: (before?.tokens ?? 0) * kept + ownTokens,
       updatedAt: now,
     });
-    if (this.#demands.size > MAX_REMEMBERED) this.#forgetLeast(now);
+    if (this.#demands.size > MAX_TRACKED_ADAPTERS) this.#trimDemands(now);
   }
 
-  getRate(adapterPath: string, now: Milliseconds): AdapterRate {
+  getRate(adapterPath: string, now: Milliseconds): AdapterDemandRate {
     const demand = this.#demands.get(adapterPath);
-    const kept = demand ? computeKept(demand, now) : 0;
-    if (!demand || demand.requests * kept < LEAST_TELLING) {
+    const kept = demand ? computeDemandDecay(demand, now) : 0;
+    if (!demand || demand.requests * kept < MIN_SIGNIFICANT_REQUESTS) {
       return { requestsPerMs: 0, tokensPerMs: 0 };
     }
     return {
-      requestsPerMs: demand.requests * kept / MEAN_LIFE_MS,
-      tokensPerMs: demand.tokens * kept / MEAN_LIFE_MS,
+      requestsPerMs: demand.requests * kept / TIME_CONSTANT_MS,
+      tokensPerMs: demand.tokens * kept / TIME_CONSTANT_MS,
     };
   }
 
-  #forgetLeast(now: Milliseconds): void {
+  #trimDemands(now: Milliseconds): void {
     for (const [path, demand] of this.#demands) {
-      const requests = demand.requests * computeKept(demand, now);
-      if (requests < FORGET_BELOW) this.#demands.delete(path);
+      const requests = demand.requests * computeDemandDecay(demand, now);
+      if (requests < MIN_TRACKED_REQUESTS) this.#demands.delete(path);
     }
     const [oldest] = this.#demands.keys();
-    const isStillFull = this.#demands.size > MAX_REMEMBERED;
+    const isStillFull = this.#demands.size > MAX_TRACKED_ADAPTERS;
     if (isStillFull && oldest !== undefined) this.#demands.delete(oldest);
   }
 }
 
-function computeKept(demand: Demand, now: Milliseconds): number {
+function computeDemandDecay(demand: Demand, now: Milliseconds): number {
   return computeDecay(now - demand.updatedAt, HALF_LIFE_MS);
 }
--- a/src/core/placement/adapter_places.ts
+++ b/src/core/placement/adapter_places.ts
@@ -9,13 +9,13 @@
 import type { FetchObservation, FetchShare } from "./fetch_window.ts";
 
 /** A draining adapter was evicted while runs used it: its slot is not free until the engine reports it gone. */
-export type PlaceState = "loading" | "resident" | "draining";
+export type AdapterSlotState = "loading" | "resident" | "draining";
 
-export interface Place {
+export interface AdapterSlot {
   adapterPath: string;
   /** Version that it has, or will have; undefined when not told. */
   version: number | undefined;
-  state: PlaceState;
+  state: AdapterSlotState;
   /** When its load from the weight store was ordered, and how many were on the way then; undefined for others. */
   fetch:
     | Pick<FetchObservation, "orderedAt" | "crowd" | "isLast" | "isOnlyOwn">
@@ -25,54 +25,54 @@
   /** Whether a request or the engine has shown that it is there to stay. */
   isConfirmed: boolean;
   /** Requests that may use it. */
-  permits: Set<string>;
+  permitIds: Set<string>;
   lastUsedAt: Milliseconds;
   /** Decayed count of uses. */
-  uses: number;
+  decayedUses: number;
 }
 
 /** First estimate of a load from the weight store; the users' sheets give 250 and 288 ms. */
-const FETCH_MS = 260;
+const INITIAL_FETCH_MS = 260;
 /** First estimate of a load of an adapter that the engine held lately. */
 const RELOAD_MS = 35;
 /** Adapters that an engine is taken to keep in its memory beside its slots, for each of these; a reload is faster from there. */
-const KEPT_PER_SLOT = 5;
+const HOST_CACHED_ADAPTERS_PER_SLOT = 5;
 /** Part of the loads at full speed below which a new load starts at once. */
-const UNQUEUED_SHARE = 0.5;
+const UNQUEUED_FRACTION = 0.5;
 /** Time in which a use loses half of its weight. */
 const USE_HALF_LIFE_MS = 15_000;
 /** Bounds and steps of the factor by which the estimate of a load follows what is seen. */
-const MAX_SLOWNESS = 3;
-const SLOWNESS_GROWTH = 1.12;
-const SLOWNESS_DECAY = 0.97;
+const MAX_SLOWDOWN = 3;
+const SLOWDOWN_GROWTH = 1.12;
+const SLOWDOWN_DECAY = 0.97;
 /** Least factor for a while after a load was late: the sheets' loads differ by as much, what is beyond is a crowd that passes. */
-const REMEMBERED_SLOWNESS = 1.12;
+const MIN_RECENT_SLOWDOWN = 1.12;
 /** That while: long against the seconds between loads. */
-const SLOWNESS_MEMORY_MS = 30_000;
+const LATE_LOAD_MEMORY_MS = 30_000;
 /** Time without a late load after which what slowed them has passed, also where no first token tells so. */
-const SLOWNESS_LIFETIME_MS = 5_000;
+const SLOWDOWN_LIFETIME_MS = 5_000;
 /** Time by which a load may be later than its estimate. */
-export const LOAD_LATENESS_MS = 1_200;
+export const MAX_LOAD_LATENESS_MS = 1_200;
 /** Longest time for which a load that is not done is waited for before the engine is asked. */
-const LOAD_PATIENCE_MS = 3_000;
+const LOAD_TIMEOUT_MS = 3_000;
 
-export class AdapterPlaces {
+export class AdapterSlots {
   #capacity: number;
   /** What is known of loads from the weight store, over all engines. */
   #share: Omit<FetchShare, "canFetch"> = {
     fleetFetches: 0,
-    fullSpeedFetches: 1,
-    isLast: true,
-    isOnlyOwn: true,
-    perEngine: 1,
+    fetchLimit: 1,
+    isAtHostShare: true,
+    isAtMinConcurrency: true,
+    fetchesPerEngine: 1,
   };
   #observations: FetchObservation[] = [];
   /** How much longer loads take than the first estimate. */
-  #slowness = 1;
+  #slowdown = 1;
   #lastLateAt = Number.NEGATIVE_INFINITY;
-  readonly #places = new Map<string, Place>();
+  readonly #slots = new Map<string, AdapterSlot>();
   /** Adapters that were evicted lately, oldest first. */
-  readonly #kept = new Set<string>();
+  readonly #hostCached = new Set<string>();
 
   constructor(capacity: number) {
     this.#capacity = capacity;
@@ -93,49 +93,50 @@
     return observations;
   }
 
-  getPlace(adapterPath: string): Place | undefined {
-    return this.#places.get(adapterPath);
+  getSlot(adapterPath: string): AdapterSlot | undefined {
+    return this.#slots.get(adapterPath);
   }
 
-  listPlaces(): Place[] {
-    return [...this.#places.values()];
+  listSlots(): AdapterSlot[] {
+    return [...this.#slots.values()];
   }
 
-  countComing(): number {
-    return this.listPlaces().filter((place) => place.state === "loading")
+  countLoading(): number {
+    return this.listSlots().filter((place) => place.state === "loading")
       .length;
   }
 
-  hasRoom(): boolean {
-    return this.#places.size < this.#capacity;
+  hasFreeSlot(): boolean {
+    return this.#slots.size < this.#capacity;
   }
 
   /** Returns whether loading the adapter calls on the weight store. */
-  isFetch(adapterPath: string): boolean {
-    return !this.#kept.has(adapterPath);
+  needsFetch(adapterPath: string): boolean {
+    return !this.#hostCached.has(adapterPath);
   }
 
   /** Returns how long a load takes that starts now. */
   estimateLoadMs(adapterPath: string): Milliseconds {
-    if (!this.isFetch(adapterPath)) return RELOAD_MS;
-    const crowding = this.#countCrowd() / this.#share.fullSpeedFetches;
+    if (!this.needsFetch(adapterPath)) return RELOAD_MS;
+    const crowding = this.#countConcurrentFetches() / this.#share.fetchLimit;
     // What the crowd explains is seen as slowness, too: only the greater counts.
-    const factor = Math.max(this.#slowness, crowding);
-    return FETCH_MS * Math.min(MAX_SLOWNESS, factor);
+    const factor = Math.max(this.#slowdown, crowding);
+    return INITIAL_FETCH_MS * Math.min(MAX_SLOWDOWN, factor);
   }
 
   /** Returns how long a load waits for those that wait before it here. */
-  estimateOwnQueueMs(adapterPath: string, before: number): Milliseconds {
-    if (!this.isFetch(adapterPath)) return 0;
-    return FETCH_MS * this.#slowness * before / this.#share.perEngine;
+  estimateEngineQueueMs(adapterPath: string, before: number): Milliseconds {
+    if (!this.needsFetch(adapterPath)) return 0;
+    return INITIAL_FETCH_MS * this.#slowdown * before /
+      this.#share.fetchesPerEngine;
   }
 
   /** Returns how long a load waits for others of the weight store. */
   estimateStoreQueueMs(adapterPath: string): Milliseconds {
-    if (!this.isFetch(adapterPath)) return 0;
-    const { fleetFetches, fullSpeedFetches } = this.#share;
-    const crowd = fleetFetches / fullSpeedFetches - UNQUEUED_SHARE;
-    return FETCH_MS * Math.max(0, crowd);
+    if (!this.needsFetch(adapterPath)) return 0;
+    const { fleetFetches, fetchLimit: fullSpeedFetches } = this.#share;
+    const crowd = fleetFetches / fullSpeedFetches - UNQUEUED_FRACTION;
+    return INITIAL_FETCH_MS * Math.max(0, crowd);
   }
 
   /**
@@ -143,19 +144,19 @@
    * only estimated to be there is left out: the engine confirms its eviction
    * without counting it, and loads it all the same.
    */
-  listIdle(now: Milliseconds): Place[] {
-    return this.listPlaces().filter((place) =>
-      place.state === "resident" && place.permits.size === 0 &&
-      (place.isConfirmed || now - place.readyAt >= LOAD_LATENESS_MS)
+  listIdle(now: Milliseconds): AdapterSlot[] {
+    return this.listSlots().filter((place) =>
+      place.state === "resident" && place.permitIds.size === 0 &&
+      (place.isConfirmed || now - place.readyAt >= MAX_LOAD_LATENESS_MS)
     );
   }
 
   /** Returns the idle adapter that yields first, or undefined when all are in use. */
-  findEvictable(now: Milliseconds): Place | undefined {
-    let best: Place | undefined;
+  findEvictionVictim(now: Milliseconds): AdapterSlot | undefined {
+    let best: AdapterSlot | undefined;
     for (const place of this.listIdle(now)) {
       const isBetter = best === undefined ||
-        getWorth(place, now) < getWorth(best, now);
+        getRetentionScore(place, now) < getRetentionScore(best, now);
       if (isBetter) best = place;
     }
     return best;
@@ -166,54 +167,56 @@
     version: number | undefined,
     now: Milliseconds,
   ): void {
-    const place = this.#places.get(adapterPath) ??
-      this.#createPlace(adapterPath, now);
+    const place = this.#slots.get(adapterPath) ??
+      this.#createSlot(adapterPath, now);
     place.version = version;
     place.state = "loading";
     place.isConfirmed = false;
-    place.fetch = this.isFetch(adapterPath)
+    place.fetch = this.needsFetch(adapterPath)
       ? {
         orderedAt: now,
-        crowd: this.#countCrowd(),
-        isLast: this.#share.isLast,
-        isOnlyOwn: this.#share.isOnlyOwn,
+        crowd: this.#countConcurrentFetches(),
+        isLast: this.#share.isAtHostShare,
+        isOnlyOwn: this.#share.isAtMinConcurrency,
       }
       : undefined;
     place.readyAt = now + this.estimateLoadMs(adapterPath);
-    this.#places.set(adapterPath, place);
-    this.#kept.delete(adapterPath);
+    this.#slots.set(adapterPath, place);
+    this.#hostCached.delete(adapterPath);
   }
 
   recordEvicted(adapterPath: string): void {
-    this.#places.delete(adapterPath);
-    this.#kept.delete(adapterPath);
-    this.#kept.add(adapterPath);
-    if (this.#kept.size <= KEPT_PER_SLOT * this.#capacity) return;
-    const [oldest] = this.#kept;
-    if (oldest !== undefined) this.#kept.delete(oldest);
+    this.#slots.delete(adapterPath);
+    this.#hostCached.delete(adapterPath);
+    this.#hostCached.add(adapterPath);
+    if (
+      this.#hostCached.size <= HOST_CACHED_ADAPTERS_PER_SLOT * this.#capacity
+    ) return;
+    const [oldest] = this.#hostCached;
+    if (oldest !== undefined) this.#hostCached.delete(oldest);
   }
 
   /** Notes an eviction that waits for runs that are not known here. */
   recordDraining(adapterPath: string): void {
-    const place = this.#places.get(adapterPath);
+    const place = this.#slots.get(adapterPath);
     if (place) place.state = "draining";
   }
 
   hasDraining(): boolean {
-    return this.listPlaces().some((place) => place.state === "draining");
+    return this.listSlots().some((place) => place.state === "draining");
   }
 
-  recordUse(place: Place, permitId: string, now: Milliseconds): void {
-    place.uses = computeUses(place, now) + 1;
+  recordUse(place: AdapterSlot, permitId: string, now: Milliseconds): void {
+    place.decayedUses = computeDecayedUses(place, now) + 1;
     place.lastUsedAt = now;
-    place.permits.add(permitId);
+    place.permitIds.add(permitId);
   }
 
   /** Takes loads whose time has come for done; returns them. */
-  completeLoads(now: Milliseconds): Place[] {
-    const isPast = now - this.#lastLateAt > SLOWNESS_LIFETIME_MS;
-    if (isPast && this.#slowness > REMEMBERED_SLOWNESS) this.#slowness = 1;
-    const done = this.listPlaces().filter((place) =>
+  completeLoads(now: Milliseconds): AdapterSlot[] {
+    const isPast = now - this.#lastLateAt > SLOWDOWN_LIFETIME_MS;
+    if (isPast && this.#slowdown > MIN_RECENT_SLOWDOWN) this.#slowdown = 1;
+    const done = this.listSlots().filter((place) =>
       place.state === "loading" && place.readyAt <= now
     );
     for (const place of done) place.state = "resident";
@@ -221,35 +224,43 @@
   }
 
   /** Notes that a load has taken no longer than estimated. */
-  recordLoadInTime(now: Milliseconds): void {
-    const isRemembered = now - this.#lastLateAt < SLOWNESS_MEMORY_MS;
-    const floor = isRemembered ? REMEMBERED_SLOWNESS : 1;
-    this.#slowness = Math.max(floor, this.#slowness * SLOWNESS_DECAY);
+  recordLoadOnTime(now: Milliseconds): void {
+    const isRemembered = now - this.#lastLateAt < LATE_LOAD_MEMORY_MS;
+    const floor = isRemembered ? MIN_RECENT_SLOWDOWN : 1;
+    this.#slowdown = Math.max(floor, this.#slowdown * SLOWDOWN_DECAY);
   }
 
   /** Notes that a request was served with the adapter: its load was done when that was sent. */
-  recordConfirmed(place: Place): void {
+  recordLoadConfirmed(place: AdapterSlot): void {
     place.isConfirmed = true;
-    this.#observeFetch(place, place.readyAt, true);
+    this.#recordFetchObservation(place, place.readyAt, true);
   }
 
   /** Notes that the engine was not ready for the adapter yet. */
-  recordLoadLate(place: Place, delayMs: Milliseconds, now: Milliseconds): void {
+  recordLoadLate(
+    place: AdapterSlot,
+    delayMs: Milliseconds,
+    now: Milliseconds,
+  ): void {
     const { fetch } = place;
-    const seen = fetch ? (now - fetch.orderedAt) / FETCH_MS : 1;
-    const slowness = Math.max(seen, this.#slowness) * SLOWNESS_GROWTH;
-    this.#slowness = Math.min(MAX_SLOWNESS, slowness);
+    const seen = fetch ? (now - fetch.orderedAt) / INITIAL_FETCH_MS : 1;
+    const slowness = Math.max(seen, this.#slowdown) * SLOWDOWN_GROWTH;
+    this.#slowdown = Math.min(MAX_SLOWDOWN, slowness);
     this.#lastLateAt = now;
-    this.#observeFetch(place, now, false);
+    this.#recordFetchObservation(place, now, false);
     this.#delayLoad(place, delayMs, now);
   }
 
   /** Returns how many loads from the weight store are on the way with one that starts now. */
-  #countCrowd(): number {
+  #countConcurrentFetches(): number {
     return this.#share.fleetFetches + 1;
   }
 
-  #observeFetch(place: Place, until: Milliseconds, isDone: boolean): void {
+  #recordFetchObservation(
+    place: AdapterSlot,
+    until: Milliseconds,
+    isDone: boolean,
+  ): void {
     const { fetch } = place;
     if (!fetch) return;
     const durationMs = until - fetch.orderedAt;
@@ -257,7 +268,11 @@
     if (isDone) place.fetch = undefined;
   }
 
-  #delayLoad(place: Place, delayMs: Milliseconds, now: Milliseconds): void {
+  #delayLoad(
+    place: AdapterSlot,
+    delayMs: Milliseconds,
+    now: Milliseconds,
+  ): void {
     place.state = "loading";
     place.readyAt = now + delayMs;
   }
@@ -267,38 +282,38 @@
     adapters: ReadonlyMap<string, { version: number; isComing: boolean }>,
     now: Milliseconds,
   ): void {
-    for (const adapterPath of [...this.#places.keys()]) {
-      if (!adapters.has(adapterPath)) this.#places.delete(adapterPath);
+    for (const adapterPath of [...this.#slots.keys()]) {
+      if (!adapters.has(adapterPath)) this.#slots.delete(adapterPath);
     }
     for (const [adapterPath, { version, isComing }] of adapters) {
-      const known = this.#places.get(adapterPath);
-      const place = known ?? this.#createPlace(adapterPath, now);
+      const known = this.#slots.get(adapterPath);
+      const place = known ?? this.#createSlot(adapterPath, now);
       place.version = version;
       // What was evicted and is still there drains: it can't be evicted again.
-      const isDraining = this.#kept.has(adapterPath);
+      const isDraining = this.#hostCached.has(adapterPath);
       place.isConfirmed = !isComing && !isDraining;
       const isNewlyComing = isComing && place.state !== "loading";
-      if (isNewlyComing) this.#delayLoad(place, FETCH_MS, now);
+      if (isNewlyComing) this.#delayLoad(place, INITIAL_FETCH_MS, now);
       if (!isComing && place.state === "loading") {
         place.readyAt = Math.min(place.readyAt, now);
       }
-      this.#places.set(adapterPath, place);
+      this.#slots.set(adapterPath, place);
     }
   }
 
   /** Returns whether a load is so late that the engine should be asked. */
   hasOverdueLoad(now: Milliseconds): boolean {
-    return this.listPlaces().some((place) =>
-      place.state === "loading" && now - place.readyAt > LOAD_PATIENCE_MS
+    return this.listSlots().some((place) =>
+      place.state === "loading" && now - place.readyAt > LOAD_TIMEOUT_MS
     );
   }
 
   clear(): void {
-    this.#places.clear();
-    this.#kept.clear();
+    this.#slots.clear();
+    this.#hostCached.clear();
   }
 
-  #createPlace(adapterPath: string, now: Milliseconds): Place {
+  #createSlot(adapterPath: string, now: Milliseconds): AdapterSlot {
     return {
       adapterPath,
       version: undefined,
@@ -306,18 +321,19 @@
       fetch: undefined,
       readyAt: now,
       isConfirmed: false,
-      permits: new Set(),
+      permitIds: new Set(),
       lastUsedAt: now,
-      uses: 0,
+      decayedUses: 0,
     };
   }
 }
 
-function computeUses(place: Place, now: Milliseconds): number {
-  return place.uses * computeDecay(now - place.lastUsedAt, USE_HALF_LIFE_MS);
+function computeDecayedUses(place: AdapterSlot, now: Milliseconds): number {
+  return place.decayedUses *
+    computeDecay(now - place.lastUsedAt, USE_HALF_LIFE_MS);
 }
 
 /** Frequency first, recency among equals. */
-function getWorth(place: Place, now: Milliseconds): number {
-  return computeUses(place, now);
+function getRetentionScore(place: AdapterSlot, now: Milliseconds): number {
+  return computeDecayedUses(place, now);
 }
--- a/src/core/placement/domain_reachability.ts
+++ b/src/core/placement/domain_reachability.ts
@@ -22,14 +22,14 @@
     this.#failedAt.delete(failureDomain);
   }
 
-  /** @param isHeard whether a peer in the failure domain is heard. */
-  isCutOff(
+  /** @param hasAlivePeer whether a peer in the failure domain is heard. */
+  isUnreachable(
     failureDomain: string,
-    isHeard: boolean,
+    hasAlivePeer: boolean,
     now: Milliseconds,
   ): boolean {
     const failedAt = this.#failedAt.get(failureDomain);
-    return failedAt !== undefined && !isHeard &&
+    return failedAt !== undefined && !hasAlivePeer &&
       now - failedAt < PROBE_INTERVAL_MS;
   }
 
@@ -41,7 +41,7 @@
   ): readonly T[] {
     const cutOff = new Set(
       [...this.#failedAt.keys()].filter((failureDomain) =>
-        this.isCutOff(failureDomain, isHeard(failureDomain), now)
+        this.isUnreachable(failureDomain, isHeard(failureDomain), now)
       ),
     );
     if (cutOff.size === 0) return upstreams;
--- a/src/core/placement/fetch_window.ts
+++ b/src/core/placement/fetch_window.ts
@@ -27,13 +27,13 @@
 /** What a host knows of loads on their way. */
 export interface FetchCount {
   /** Its own. */
-  own: number;
+  ownFetches: number;
   /** Those that others say they have; undefined where not all are heard. */
-  others: number | undefined;
+  peerFetches: number | undefined;
   /** Its share of the engines, as a part of all; at least one engine's. */
   engineShare: number;
   /** Hosts that hold engines. */
-  holders: number;
+  owners: number;
 }
 
 /** What follows for the next load of a host. */
@@ -41,191 +41,210 @@
   /** Loads on their way over all hosts, as far as can be told. */
   fleetFetches: number;
   /** How many of these go at full speed together. */
-  fullSpeedFetches: number;
+  fetchLimit: number;
   canFetch: boolean;
   /** Whether the host has its share on the way with one more. */
-  isLast: boolean;
+  isAtHostShare: boolean;
   /** Whether it has none on the way, and the others have one each at most. */
-  isOnlyOwn: boolean;
+  isAtMinConcurrency: boolean;
   /** Loads at once that an engine can count on. */
-  perEngine: number;
+  fetchesPerEngine: number;
 }
 
 /** First estimate, before any load has told: the least and the part of an engine's of the users' first sites. */
-const FIRST_LEAST = 8;
-const FIRST_PER_ENGINE = 0.65;
+const MIN_INITIAL_LIMIT = 8;
+const INITIAL_LIMIT_PER_ENGINE = 0.65;
 /** Adapters on their way to one engine, at most: the platform's bound. */
-export const MAX_COMING = 4;
+export const MAX_LOADING = 4;
 /** Loads that one host may have on the way in any case, while the store has room. */
-const MIN_OWN_FETCHES = 3;
+const MIN_HOST_FETCH_CAP = 3;
 /** The same in parts of an even share: demand is uneven. */
-const OWN_SHARES = 1.5;
+const HOST_SHARE_FACTOR = 1.5;
 /** Longest duration of a load at full speed, in parts of the quickest one: the look at a load comes up to a quarter late. */
-const FLAT_RATIO = 1.25;
+const MAX_FULL_SPEED_RATIO = 1.25;
 /** Part of the estimate beyond which loads on the way may be the cause of a long one. */
-const CROWDED_SHARE = 0.5;
+const CONGESTED_FRACTION = 0.5;
 /** Loads in time, one after the other, after which the estimate is taken for much too low. */
-const OPENING_STREAK = 16;
+const FAST_GROWTH_STREAK = 16;
 /** Growth for a load in time before any was late, as a part of the estimate: each host has a few on the way, so that these double it. */
-const FIRST_GROWTH = 0.3;
+const SLOW_START_GROWTH = 0.3;
 /** The same after a streak of loads in time, and for a load that the host had alone: then it sees few. */
-const OPENING_GROWTH = 0.12;
+const FAST_GROWTH = 0.12;
 /** Growth for any other load in time, as a part of the estimate. */
-const GROWTH = 0.04;
+const NORMAL_GROWTH = 0.04;
 /** Parts of the estimate that are kept when a load was late: as much as it was late by, within these. */
-const LEAST_KEPT = 0.5;
-const MOST_KEPT = 0.85;
+const MIN_DECREASE_FACTOR = 0.5;
+const MAX_DECREASE_FACTOR = 0.85;
 /** The same part down to which the estimate does not fall below the first one. */
-const MILD_PART = 0.75;
+const MILD_DECREASE_FACTOR = 0.75;
 /** Least estimate: one load after the other. */
-const LEAST = 1;
+const MIN_LIMIT = 1;
 /** Part of the way to the mean of what others have found that a host goes each time it hears of it. */
-const AGREEMENT = 0.3;
+const PEER_AVERAGING_WEIGHT = 0.3;
 /** Duration of a load at full speed before any was seen; the users' sheets give 250 and 288 ms. */
-const FIRST_QUICKEST_MS = 290;
+const INITIAL_MIN_DURATION_MS = 290;
 /** Time for which the quickest load is remembered, in two halves: long against a load, short against a day's changes. */
-const QUICKEST_HALF_MS = 15_000;
+const MIN_DURATION_BUCKET_MS = 15_000;
 /** Time for which the figure of the users' sheets counts as well, which may be wrong here. */
-const FIRST_QUICKEST_COUNTS_MS = 3_000;
+const INITIAL_MIN_DURATION_LIFETIME_MS = 3_000;
 
-export class FetchWindow {
-  #fullSpeed = FIRST_LEAST;
-  #first = FIRST_LEAST;
-  #hasEvidence = false;
+export class FetchConcurrencyLimit {
+  #limit = MIN_INITIAL_LIMIT;
+  #initialLimit = MIN_INITIAL_LIMIT;
+  #hasLocalSamples = false;
   /** Whether a load was late. */
-  #hasBeenLate = false;
+  #hasSeenLateLoad = false;
   /** Loads in time since the last late one. */
-  #streak = 0;
-  #cutAt = Number.NEGATIVE_INFINITY;
-  #quickestMs = Number.POSITIVE_INFINITY;
-  #quickestBeforeMs = Number.POSITIVE_INFINITY;
-  #halfBeganAt: Milliseconds | undefined;
+  #onTimeStreak = 0;
+  #decreasedAt = Number.NEGATIVE_INFINITY;
+  #minDurationMs = Number.POSITIVE_INFINITY;
+  #previousMinDurationMs = Number.POSITIVE_INFINITY;
+  #bucketStartedAt: Milliseconds | undefined;
   /** When a load was seen first. */
-  #firstSeenAt: Milliseconds | undefined;
-  #engines = 1;
+  #firstSampleAt: Milliseconds | undefined;
+  #engineCount = 1;
 
   /** Loads that go at full speed together, as far as is known. */
-  get fullSpeed(): number {
-    return this.#fullSpeed;
+  get limit(): number {
+    return this.#limit;
   }
 
   /** The same where it rests on this host's own loads, to be told to others. */
-  get found(): number | undefined {
-    return this.#hasEvidence ? this.#fullSpeed : undefined;
+  get measuredLimit(): number | undefined {
+    return this.#hasLocalSamples ? this.#limit : undefined;
   }
 
   /** Takes in what the others have found: each sees a few loads only. */
-  recordFindings(findings: readonly number[]): void {
+  recordPeerLimits(findings: readonly number[]): void {
     if (findings.length === 0) return;
     const mean = findings.reduce((sum, each) => sum + each, 0) /
       findings.length;
-    this.#fullSpeed += AGREEMENT * (mean - this.#fullSpeed);
+    this.#limit += PEER_AVERAGING_WEIGHT * (mean - this.#limit);
   }
 
   /** Sets the number of engines, by which the first estimate goes. */
-  setEngines(engines: number): void {
-    this.#engines = Math.max(1, engines);
-    if (this.#hasEvidence) return;
-    this.#first = Math.max(FIRST_LEAST, FIRST_PER_ENGINE * engines);
-    this.#fullSpeed = this.#first;
+  setEngineCount(engines: number): void {
+    this.#engineCount = Math.max(1, engines);
+    if (this.#hasLocalSamples) return;
+    this.#initialLimit = Math.max(
+      MIN_INITIAL_LIMIT,
+      INITIAL_LIMIT_PER_ENGINE * engines,
+    );
+    this.#limit = this.#initialLimit;
   }
 
   /** Returns whether a host may start a load, and beside how many. */
   computeShare(count: FetchCount): FetchShare {
-    const share = this.#fullSpeed * count.engineShare;
+    const share = this.#limit * count.engineShare;
     return {
-      fleetFetches: estimateFleet(count),
-      fullSpeedFetches: this.#fullSpeed,
+      fleetFetches: estimateFleetFetches(count),
+      fetchLimit: this.#limit,
       canFetch: this.#canFetch(count),
-      isLast: count.own + 1 >= share ||
-        !this.#canFetch({ ...count, own: count.own + 1 }),
-      isOnlyOwn: count.own === 0 && estimateFleet(count) < count.holders,
-      perEngine: Math.min(
-        MAX_COMING,
-        Math.max(1, this.#fullSpeed / this.#engines),
+      isAtHostShare: count.ownFetches + 1 >= share ||
+        !this.#canFetch({ ...count, ownFetches: count.ownFetches + 1 }),
+      isAtMinConcurrency: count.ownFetches === 0 &&
+        estimateFleetFetches(count) < count.owners,
+      fetchesPerEngine: Math.min(
+        MAX_LOADING,
+        Math.max(1, this.#limit / this.#engineCount),
       ),
     };
   }
 
   /** What others have on the way is known late, so each host keeps to a few, and each gets on with one and with its even share. */
   #canFetch(count: FetchCount): boolean {
-    const share = this.#fullSpeed * count.engineShare;
-    return count.own === 0 || count.own < Math.floor(share) ||
-      (estimateFleet(count) < this.#fullSpeed &&
-        count.own < Math.max(MIN_OWN_FETCHES, OWN_SHARES * share));
+    const share = this.#limit * count.engineShare;
+    return count.ownFetches === 0 || count.ownFetches < Math.floor(share) ||
+      (estimateFleetFetches(count) < this.#limit &&
+        count.ownFetches <
+          Math.max(MIN_HOST_FETCH_CAP, HOST_SHARE_FACTOR * share));
   }
 
   recordFetch(fetch: FetchObservation, now: Milliseconds): void {
-    const crowding = Math.max(1, fetch.crowd / this.#fullSpeed);
+    const crowding = Math.max(1, fetch.crowd / this.#limit);
     const alikeMs = fetch.durationMs / crowding;
     // Where each host has one on the way at most, none can be quicker.
-    const isAtFullSpeed = fetch.isOnlyOwn || fetch.crowd <= this.#fullSpeed;
+    const isAtFullSpeed = fetch.isOnlyOwn || fetch.crowd <= this.#limit;
     if (fetch.isDone && isAtFullSpeed) {
-      this.#recordQuickest(fetch.durationMs, now);
+      this.#recordFullSpeedDuration(fetch.durationMs, now);
     }
-    const quickestMs = this.#getQuickestMs(now);
-    const isLong = alikeMs > FLAT_RATIO * quickestMs;
+    const quickestMs = this.#getMinDurationMs(now);
+    const isLong = alikeMs > MAX_FULL_SPEED_RATIO * quickestMs;
     const isTelling = fetch.isLast ||
-      (isLong && fetch.crowd > CROWDED_SHARE * this.#fullSpeed);
+      (isLong && fetch.crowd > CONGESTED_FRACTION * this.#limit);
     if (!isTelling || (!isLong && !fetch.isDone)) return;
-    this.#hasEvidence = true;
+    this.#hasLocalSamples = true;
     if (isLong) {
-      this.#cut(FLAT_RATIO * quickestMs / alikeMs, fetch.orderedAt, now);
+      this.#recordLateLoad(
+        MAX_FULL_SPEED_RATIO * quickestMs / alikeMs,
+        fetch.orderedAt,
+        now,
+      );
       return;
     }
-    this.#streak += 1;
+    this.#onTimeStreak += 1;
     // No more can be on the way: the platform bounds them by engine.
-    const most = MAX_COMING * this.#engines;
-    this.#fullSpeed = Math.min(
-      Math.max(most, this.#fullSpeed),
-      this.#fullSpeed + this.#computeGrowth(fetch.isOnlyOwn),
+    const most = MAX_LOADING * this.#engineCount;
+    this.#limit = Math.min(
+      Math.max(most, this.#limit),
+      this.#limit + this.#computeGrowth(fetch.isOnlyOwn),
     );
   }
 
   #computeGrowth(isOnlyOwn: boolean): number {
-    if (!this.#hasBeenLate) return FIRST_GROWTH * this.#fullSpeed;
-    const isStreak = this.#streak > OPENING_STREAK;
-    const growth = isStreak || isOnlyOwn ? OPENING_GROWTH : GROWTH;
-    return growth * this.#fullSpeed;
+    if (!this.#hasSeenLateLoad) return SLOW_START_GROWTH * this.#limit;
+    const isStreak = this.#onTimeStreak > FAST_GROWTH_STREAK;
+    const growth = isStreak || isOnlyOwn ? FAST_GROWTH : NORMAL_GROWTH;
+    return growth * this.#limit;
   }
 
   /** Lowers the estimate, once for all loads that were on the way together. */
-  #cut(part: number, orderedAt: Milliseconds, now: Milliseconds): void {
-    this.#streak = 0;
-    this.#hasBeenLate = true;
-    if (orderedAt < this.#cutAt) return;
-    this.#cutAt = now;
-    const kept = Math.min(MOST_KEPT, Math.max(LEAST_KEPT, part));
+  #recordLateLoad(
+    part: number,
+    orderedAt: Milliseconds,
+    now: Milliseconds,
+  ): void {
+    this.#onTimeStreak = 0;
+    this.#hasSeenLateLoad = true;
+    if (orderedAt < this.#decreasedAt) return;
+    this.#decreasedAt = now;
+    const kept = Math.min(
+      MAX_DECREASE_FACTOR,
+      Math.max(MIN_DECREASE_FACTOR, part),
+    );
     // What others have on the way is known late: a load that is a little late tells nothing against the first estimate.
-    const least = part > MILD_PART
-      ? Math.min(this.#first, this.#fullSpeed)
-      : LEAST;
-    this.#fullSpeed = Math.max(least, kept * this.#fullSpeed);
+    const least = part > MILD_DECREASE_FACTOR
+      ? Math.min(this.#initialLimit, this.#limit)
+      : MIN_LIMIT;
+    this.#limit = Math.max(least, kept * this.#limit);
   }
 
-  #getQuickestMs(now: Milliseconds): Milliseconds {
-    this.#firstSeenAt ??= now;
-    const seenMs = Math.min(this.#quickestMs, this.#quickestBeforeMs);
-    const isEarly = now - this.#firstSeenAt < FIRST_QUICKEST_COUNTS_MS;
+  #getMinDurationMs(now: Milliseconds): Milliseconds {
+    this.#firstSampleAt ??= now;
+    const seenMs = Math.min(this.#minDurationMs, this.#previousMinDurationMs);
+    const isEarly =
+      now - this.#firstSampleAt < INITIAL_MIN_DURATION_LIFETIME_MS;
     return isEarly || !Number.isFinite(seenMs)
-      ? Math.min(seenMs, FIRST_QUICKEST_MS)
+      ? Math.min(seenMs, INITIAL_MIN_DURATION_MS)
       : seenMs;
   }
 
-  #recordQuickest(durationMs: Milliseconds, now: Milliseconds): void {
-    this.#halfBeganAt ??= now;
-    if (now - this.#halfBeganAt >= QUICKEST_HALF_MS) {
-      this.#halfBeganAt = now;
-      if (Number.isFinite(this.#quickestMs)) {
-        this.#quickestBeforeMs = this.#quickestMs;
+  #recordFullSpeedDuration(durationMs: Milliseconds, now: Milliseconds): void {
+    this.#bucketStartedAt ??= now;
+    if (now - this.#bucketStartedAt >= MIN_DURATION_BUCKET_MS) {
+      this.#bucketStartedAt = now;
+      if (Number.isFinite(this.#minDurationMs)) {
+        this.#previousMinDurationMs = this.#minDurationMs;
       }
-      this.#quickestMs = Number.POSITIVE_INFINITY;
+      this.#minDurationMs = Number.POSITIVE_INFINITY;
     }
-    this.#quickestMs = Math.min(this.#quickestMs, durationMs);
+    this.#minDurationMs = Math.min(this.#minDurationMs, durationMs);
   }
 }
 
 /** Where others are not heard, each is taken to have as many on the way for each of its engines as this one. */
-function estimateFleet({ own, others, engineShare }: FetchCount): number {
+function estimateFleetFetches(
+  { ownFetches: own, peerFetches: others, engineShare }: FetchCount,
+): number {
   return others === undefined ? own / engineShare : own + others;
 }
--- a/src/core/placement/upstream_backoff.ts
+++ b/src/core/placement/upstream_backoff.ts
@@ -9,7 +9,7 @@
 import type { Milliseconds } from "../structures.ts";
 
 /** An upstream, and the start of it that is meant. */
-export interface UpstreamStart {
+export interface UpstreamInstance {
   id: string;
   /** Unix time of its start; 0 when unknown. */
   bornAtUnixMs: number;
@@ -25,7 +25,7 @@
 
   /** Notes that the upstream wants no request for the given time; a shorter time does not end a longer one. */
   recordBackoff(
-    upstream: UpstreamStart,
+    upstream: UpstreamInstance,
     retryAfterMs: Milliseconds,
     now: Milliseconds,
   ): void {
@@ -43,14 +43,14 @@
   }
 
   /** Returns the time for which the upstream still wants no request, 0 when it takes them. */
-  getRemainingMs(upstream: UpstreamStart, now: Milliseconds): Milliseconds {
+  getRemainingMs(upstream: UpstreamInstance, now: Milliseconds): Milliseconds {
     const backoff = this.#backoffs.get(upstream.id);
     const isSameStart = backoff?.bornAtUnixMs === upstream.bornAtUnixMs;
     return backoff && isSameStart ? Math.max(0, backoff.until - now) : 0;
   }
 
   /** Returns the upstreams that take requests of this host. */
-  listOpen<Upstream extends UpstreamStart>(
+  listAvailable<Upstream extends UpstreamInstance>(
     upstreams: readonly Upstream[],
     now: Milliseconds,
   ): Upstream[] {
@@ -58,8 +58,8 @@
   }
 
   /** Returns the time until one of the upstreams takes requests again; undefined where there is none. */
-  getShortestMs(
-    upstreams: readonly UpstreamStart[],
+  getShortestRemainingMs(
+    upstreams: readonly UpstreamInstance[],
     now: Milliseconds,
   ): Milliseconds | undefined {
     if (upstreams.length === 0) return undefined;
--- a/src/core/placement/upstream_choice.ts
+++ b/src/core/placement/upstream_choice.ts
@@ -14,22 +14,22 @@
 import type { UpstreamHealth } from "./upstream_health.ts";
 
 /** Engines that may take a copy of one adapter. */
-export const MAX_ADAPTER_HOMES = 6;
+export const MAX_ADAPTER_REPLICAS = 6;
 
 /** Runs of an adapter that go on at once in a failure domain, from which it has a home there: its slot is seldom idle. */
-const NEAR_HOME_RUNS = 1;
+const MIN_RUNS_FOR_LOCAL_REPLICA = 1;
 /** Part of an engine's reading that one adapter may take up before it gets a further home: as much is left for the rest of an even load. */
-const HOME_READING_SHARE = 0.25;
+const MAX_REPLICA_PREFILL_FRACTION = 0.25;
 
 /** How much an adapter is asked for in the failure domain of the one who asks. */
 export interface DomainDemand {
   failureDomain: string;
   /** Runs that go on at once. */
-  runs: number;
+  concurrentRuns: number;
   /** Prompt reading, in parts of what one engine reads. */
-  reading: number;
+  prefillLoad: number;
   /** Whether each further home costs a load. */
-  costsLoads: boolean;
+  isLoadNeeded: boolean;
   /** Spreads requests over several homes; another one for each request. */
   spreadKey: string;
 }
@@ -43,23 +43,26 @@
   now: Milliseconds,
 ): PublishedUpstream[] {
   const ranked = rankByRendezvous(adapterPath, engines);
-  const [ill, sound] = divide(
+  const [ill, sound] = partition(
     ranked,
     (engine) => health.isAvoided(engine.id, now),
   );
-  const [holding, others] = divide(
+  const [holding, others] = partition(
     sound,
     (engine) => engine.adapters.has(adapterPath),
   );
-  const [near, distant] = divide(
+  const [near, distant] = partition(
     holding,
     (engine) => engine.failureDomain === demand.failureDomain,
   );
-  return [...moveHomesFirst([...near, ...distant, ...others], demand), ...ill];
+  return [
+    ...moveLocalReplicasFirst([...near, ...distant, ...others], demand),
+    ...ill,
+  ];
 }
 
 /** Returns those for which the condition holds, and the others, each in their order. */
-function divide<T>(
+function partition<T>(
   values: readonly T[],
   holds: (value: T) => boolean,
 ): [those: T[], others: T[]] {
@@ -70,15 +73,19 @@
 }
 
 /** Puts the near homes of an adapter in wide use first, another one of them for each request. */
-function moveHomesFirst(
+function moveLocalReplicasFirst(
   ranked: readonly PublishedUpstream[],
   demand: DomainDemand,
 ): readonly PublishedUpstream[] {
-  if (demand.costsLoads && demand.runs < NEAR_HOME_RUNS) return ranked;
+  if (
+    demand.isLoadNeeded && demand.concurrentRuns < MIN_RUNS_FOR_LOCAL_REPLICA
+  ) return ranked;
   const near = ranked.filter((engine) =>
     engine.failureDomain === demand.failureDomain
   );
-  const homeCount = Math.ceil(demand.reading / HOME_READING_SHARE);
+  const homeCount = Math.ceil(
+    demand.prefillLoad / MAX_REPLICA_PREFILL_FRACTION,
+  );
   const homes = near.slice(0, Math.max(1, homeCount));
   const first = hashText(demand.spreadKey) % Math.max(1, homes.length);
   const chosen = [...homes.slice(first), ...homes.slice(0, first)];
@@ -95,9 +102,9 @@
 }
 
 /** Age beyond which an upstream's word on its load is not used. */
-const LOAD_REPORT_LIFETIME_MS = 1_000;
+const MAX_LOAD_REPORT_AGE_MS = 1_000;
 /** Load, in parts of all slots, that a hop to another failure domain is worth. */
-const DISTANCE_PENALTY = 0.25;
+const CROSS_DOMAIN_PENALTY = 0.25;
 /** Load, in parts of all slots, that a failing upstream is charged. */
 const FAILURE_PENALTY = 2;
 
@@ -109,7 +116,7 @@
     health: UpstreamHealth;
     getLoad: (upstreamId: string) => ServiceLoad | undefined;
     /** Breaks ties; another one for each request. */
-    tieKey: string;
+    tieBreakKey: string;
   },
   now: Milliseconds,
 ): PublishedUpstream[] {
@@ -121,7 +128,7 @@
   );
   const getScore = (upstream: PublishedUpstream) =>
     scores.get(upstream.id) ?? 0;
-  return rankByRendezvous(from.tieKey, upstreams)
+  return rankByRendezvous(from.tieBreakKey, upstreams)
     .sort((a, b) => getScore(a) - getScore(b));
 }
 
@@ -136,15 +143,15 @@
 ): number {
   const load = from.getLoad(upstream.id);
   const isReportFresh = load !== undefined &&
-    now - load.reportedAt < LOAD_REPORT_LIFETIME_MS;
+    now - load.reportedAt < MAX_LOAD_REPORT_AGE_MS;
   const running = Math.max(
     load?.ownRunning ?? 0,
     isReportFresh ? load.reportedRunning : 0,
   );
   const distance = upstream.failureDomain === from.failureDomain
     ? 0
-    : DISTANCE_PENALTY;
+    : CROSS_DOMAIN_PENALTY;
   const avoidance = from.health.isAvoided(upstream.id, now) ? 10 : 0;
   return running / Math.max(1, upstream.slots) + distance + avoidance +
-    FAILURE_PENALTY * from.health.getFailureShare(upstream.id, now);
+    FAILURE_PENALTY * from.health.getFailureRate(upstream.id, now);
 }
--- a/src/core/placement/upstream_health.ts
+++ b/src/core/placement/upstream_health.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from "../structures.ts";
 
 /** How one attempt at an upstream ended, as far as it speaks of the upstream. */
-export const HealthSign = {
+export const HealthSignal = {
   Answered: "answered",
   /** It failed the request, or broke it off. */
   Failed: "failed",
@@ -19,26 +19,26 @@
   /** No connection came about. */
   Unreachable: "unreachable",
 } as const;
-export type HealthSign = (typeof HealthSign)[keyof typeof HealthSign];
+export type HealthSignal = (typeof HealthSignal)[keyof typeof HealthSignal];
 
 /** Time in which what was seen loses half of its weight. */
 const HALF_LIFE_MS = 4_000;
 /** Answers that an upstream is credited with before any was seen. */
-const PRIOR_ANSWERS = 3;
+const PRIOR_SUCCESSES = 3;
 /** Time for which an upstream that can't be reached is passed over. */
-const UNREACHABLE_PAUSE_MS = 1_500;
+const UNREACHABLE_AVOIDANCE_MS = 1_500;
 /** Share of failures below which an upstream counts as sound, so that old ones do not keep it out. */
-const NEGLIGIBLE_SHARE = 0.05;
+const NEGLIGIBLE_FAILURE_RATE = 0.05;
 /** Share of failures from which an upstream is taken for ill. */
-const ILL_FAILURE_SHARE = 0.35;
+const UNHEALTHY_FAILURE_RATE = 0.35;
 /** The same share over all hosts, which see more requests and so tell it sooner from chance. */
-const ILL_FLEET_SHARE = 0.22;
+const UNHEALTHY_FLEET_FAILURE_RATE = 0.22;
 /** Failures over all hosts below which that share tells nothing. */
 const MIN_FLEET_FAILURES = 3;
 /** Hosts that must have seen a failure: one alone may have a bad path to it. */
-const MIN_REPORTS = 2;
+const MIN_REPORTING_HOSTS = 2;
 /** Failures from which a host tells its peers of an upstream. */
-const TOLD_FAILURES = 0.5;
+const MIN_PUBLISHED_FAILURES = 0.5;
 
 /** What a host has seen of an upstream that fails requests, recent ones foremost. */
 export type OutcomeReport = [
@@ -53,7 +53,7 @@
   answered: number;
 }
 
-interface Record {
+interface OutcomeCounts {
   answered: number;
   failed: number;
   updatedAt: Milliseconds;
@@ -61,43 +61,47 @@
 }
 
 export class UpstreamHealth {
-  readonly #records = new Map<string, Record>();
+  readonly #counts = new Map<string, OutcomeCounts>();
   /** What peers have seen of failing upstreams. */
   #reported: ReadonlyMap<string, ReportedOutcomes> = new Map();
 
-  recordSign(upstreamId: string, sign: HealthSign, now: Milliseconds): void {
-    const record = this.#updateRecord(upstreamId, now);
+  recordSignal(
+    upstreamId: string,
+    sign: HealthSignal,
+    now: Milliseconds,
+  ): void {
+    const record = this.#updateCounts(upstreamId, now);
     switch (sign) {
-      case HealthSign.Answered:
+      case HealthSignal.Answered:
         record.answered += 1;
         record.avoidedUntil = now;
         break;
-      case HealthSign.Failed:
+      case HealthSignal.Failed:
         record.failed += 1;
         break;
-      case HealthSign.Rejected:
+      case HealthSignal.Rejected:
         record.failed += 0.5;
         break;
-      case HealthSign.Unreachable:
+      case HealthSignal.Unreachable:
         record.failed += 1;
-        record.avoidedUntil = now + UNREACHABLE_PAUSE_MS;
+        record.avoidedUntil = now + UNREACHABLE_AVOIDANCE_MS;
         break;
     }
   }
 
   /** Returns the share of attempts that fail there, 0 to 1, recent ones foremost. */
-  getFailureShare(upstreamId: string, now: Milliseconds): number {
-    if (!this.#records.has(upstreamId)) return 0;
-    const { answered, failed } = this.#updateRecord(upstreamId, now);
-    const share = failed / (answered + failed + PRIOR_ANSWERS);
-    return share < NEGLIGIBLE_SHARE ? 0 : share;
+  getFailureRate(upstreamId: string, now: Milliseconds): number {
+    if (!this.#counts.has(upstreamId)) return 0;
+    const { answered, failed } = this.#updateCounts(upstreamId, now);
+    const share = failed / (answered + failed + PRIOR_SUCCESSES);
+    return share < NEGLIGIBLE_FAILURE_RATE ? 0 : share;
   }
 
   /** Returns what this host has seen of upstreams that fail requests, to be told to peers. */
   listFailing(now: Milliseconds): OutcomeReport[] {
-    return [...this.#records.keys()].flatMap((upstreamId): OutcomeReport[] => {
-      const { failed, answered } = this.#updateRecord(upstreamId, now);
-      return failed < TOLD_FAILURES
+    return [...this.#counts.keys()].flatMap((upstreamId): OutcomeReport[] => {
+      const { failed, answered } = this.#updateCounts(upstreamId, now);
+      return failed < MIN_PUBLISHED_FAILURES
         ? []
         : [[upstreamId, roundCount(failed), roundCount(answered)]];
     });
@@ -120,35 +124,36 @@
 
   /** Returns whether requests go elsewhere where they can. */
   isAvoided(upstreamId: string, now: Milliseconds): boolean {
-    if (this.#isIllForFleet(upstreamId, now)) return true;
-    const record = this.#records.get(upstreamId);
+    if (this.#isUnhealthyFleetWide(upstreamId, now)) return true;
+    const record = this.#counts.get(upstreamId);
     if (!record) return false;
     return record.avoidedUntil > now ||
-      this.getFailureShare(upstreamId, now) >= ILL_FAILURE_SHARE;
+      this.getFailureRate(upstreamId, now) >= UNHEALTHY_FAILURE_RATE;
   }
 
   /** Returns whether all hosts together see the upstream fail too many requests. */
-  #isIllForFleet(upstreamId: string, now: Milliseconds): boolean {
+  #isUnhealthyFleetWide(upstreamId: string, now: Milliseconds): boolean {
     const reported = this.#reported.get(upstreamId);
     if (!reported) return false;
-    const own = this.#records.has(upstreamId)
-      ? this.#updateRecord(upstreamId, now)
+    const own = this.#counts.has(upstreamId)
+      ? this.#updateCounts(upstreamId, now)
       : { failed: 0, answered: 0 };
-    const hosts = reported.hosts + (own.failed >= TOLD_FAILURES ? 1 : 0);
+    const hosts = reported.hosts +
+      (own.failed >= MIN_PUBLISHED_FAILURES ? 1 : 0);
     const failed = reported.failed + own.failed;
     const all = failed + reported.answered + own.answered;
-    return hosts >= MIN_REPORTS && failed >= MIN_FLEET_FAILURES &&
-      failed / (all + PRIOR_ANSWERS) >= ILL_FLEET_SHARE;
+    return hosts >= MIN_REPORTING_HOSTS && failed >= MIN_FLEET_FAILURES &&
+      failed / (all + PRIOR_SUCCESSES) >= UNHEALTHY_FLEET_FAILURE_RATE;
   }
 
-  #updateRecord(upstreamId: string, now: Milliseconds): Record {
-    const record = this.#records.get(upstreamId) ??
+  #updateCounts(upstreamId: string, now: Milliseconds): OutcomeCounts {
+    const record = this.#counts.get(upstreamId) ??
       { answered: 0, failed: 0, updatedAt: now, avoidedUntil: now };
     const decay = computeDecay(now - record.updatedAt, HALF_LIFE_MS);
     record.answered *= decay;
     record.failed *= decay;
     record.updatedAt = now;
-    this.#records.set(upstreamId, record);
+    this.#counts.set(upstreamId, record);
     return record;
   }
 }
--- a/src/gateway/attempt_runner.ts
+++ b/src/gateway/attempt_runner.ts
@@ -6,7 +6,7 @@
 import { Buffer } from "node:buffer";
 import type { IncomingMessage } from "node:http";
 import { AttemptOutcome } from "../core/execution/attempt_verdict.ts";
-import { HealthSign } from "../core/placement/upstream_health.ts";
+import { HealthSignal } from "../core/placement/upstream_health.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type { PublishedUpstream } from "../core/view/published_view.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
@@ -200,19 +200,19 @@
 }
 
 /** Returns what an attempt's end says of the upstream; undefined when it says nothing. */
-export function getHealthSign(result: AttemptResult): HealthSign | undefined {
+export function getHealthSign(result: AttemptResult): HealthSignal | undefined {
   switch (result.outcome) {
     case AttemptOutcome.Answered:
-      return HealthSign.Answered;
+      return HealthSignal.Answered;
     case AttemptOutcome.Failed:
     case AttemptOutcome.Lost:
     case AttemptOutcome.Silent:
-      return HealthSign.Failed;
+      return HealthSignal.Failed;
     case AttemptOutcome.NotSent:
-      return HealthSign.Unreachable;
+      return HealthSignal.Unreachable;
     case AttemptOutcome.NotRun:
       return result.notRun === NotRunReason.Rejected
-        ? HealthSign.Rejected
+        ? HealthSignal.Rejected
         : undefined;
   }
 }
--- a/src/gateway/caller_task.ts
+++ b/src/gateway/caller_task.ts
@@ -12,7 +12,7 @@
   type ServerResponse,
 } from "node:http";
 import type { Socket } from "node:net";
-import { canTakeWhileStopping } from "../core/admission/stop_admission.ts";
+import { canAdmitWhileStopping } from "../core/admission/stop_admission.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import { describeError } from "../daemon/step_error.ts";
 import { CallerExchange } from "./caller_exchange.ts";
@@ -190,7 +190,7 @@
       return;
     }
     const isTooLate = this.#stop !== undefined &&
-      !canTakeWhileStopping(this.#stop, {
+      !canAdmitWhileStopping(this.#stop, {
         isGeneration: service.engine !== undefined,
         promptTokens: facts.promptTokens,
         outputTokens: facts.outputTokens,
--- a/src/gateway/engine_place_finder.ts
+++ b/src/gateway/engine_place_finder.ts
@@ -7,13 +7,13 @@
   DenialReason,
   type PermitAnswer,
 } from "../core/admission/engine_desk.ts";
-import { PREFILL_TOKENS_PER_MS } from "../core/admission/batch_room.ts";
-import { computePlacePatienceMs } from "../core/admission/place_patience.ts";
+import { DEFAULT_PREFILL_TOKENS_PER_MS } from "../core/admission/batch_room.ts";
+import { computeMaxPermitWaitMs } from "../core/admission/place_patience.ts";
 import { AttemptOutcome } from "../core/execution/attempt_verdict.ts";
 import { formatAdapterPath } from "../core/placement/adapter_path.ts";
 import {
   type DomainDemand,
-  MAX_ADAPTER_HOMES,
+  MAX_ADAPTER_REPLICAS,
   rankEngines,
 } from "../core/placement/upstream_choice.ts";
 import type { Milliseconds } from "../core/structures.ts";
@@ -99,7 +99,7 @@
     const startedAt = performance.now();
     const engines = listUsableUpstreams(this.#context, serving, startedAt);
     if (engines.length === 0) {
-      this.#expectedMs = backoff.getShortestMs(serving, startedAt) ??
+      this.#expectedMs = backoff.getShortestRemainingMs(serving, startedAt) ??
         DEFAULT_RETRY_AFTER_MS;
       return undefined;
     }
@@ -119,7 +119,7 @@
     );
     const candidates = (fresh.length > 0 ? fresh : ranked)
       .filter((engine) => this.#context.engines.hasHolder(engine.id))
-      .slice(0, MAX_ADAPTER_HOMES);
+      .slice(0, MAX_ADAPTER_REPLICAS);
     let shortest: { engine: PublishedUpstream; ms: Milliseconds } | undefined;
     for (const engine of candidates) {
       const { answer, grantorId } = await this.#askPlace(engine, false);
@@ -128,7 +128,7 @@
         return undefined;
       }
       if (answer.reason === DenialReason.Overdue) return undefined;
-      if (answer.reason === DenialReason.NotHolder) continue;
+      if (answer.reason === DenialReason.NotOwner) continue;
       // Each copy of an adapter costs a load: the home is left only for a clear gain.
       const isClearlyShorter = !shortest ||
         answer.retryAfterMs < shortest.ms - COPY_GAIN_MS;
@@ -157,7 +157,7 @@
       .reduce((sum, part) => sum + part.tokens, 0);
     this.#context.demand.recordRequest({
       adapterPath: placementKey,
-      ownTokens: Math.max(0, promptTokens - sharedTokens),
+      unsharedPromptTokens: Math.max(0, promptTokens - sharedTokens),
     }, now);
   }
 
@@ -168,9 +168,9 @@
     const hosts = fleet.countLivingIn(failureDomain, now);
     return {
       failureDomain,
-      runs: hosts * rate.requestsPerMs * engines.permits.meanRunMs,
-      reading: hosts * rate.tokensPerMs / PREFILL_TOKENS_PER_MS,
-      costsLoads: this.#exchange.facts.adapter !== "",
+      concurrentRuns: hosts * rate.requestsPerMs * engines.permits.meanRunMs,
+      prefillLoad: hosts * rate.tokensPerMs / DEFAULT_PREFILL_TOKENS_PER_MS,
+      isLoadNeeded: this.#exchange.facts.adapter !== "",
       spreadKey: this.#exchange.facts.requestId,
     };
   }
@@ -232,7 +232,7 @@
     const remainingMs = Math.max(1, this.#options.endsAt - performance.now());
     const elapsedMs = performance.now() - this.#exchange.arrivedAt;
     const firstTokenBudgetMs = Math.max(0, latencyObjectiveMs - elapsedMs);
-    const patienceMs = computePlacePatienceMs({
+    const patienceMs = computeMaxPermitWaitMs({
       latencyObjectiveMs,
       pauseObjectiveMs,
       elapsedMs,
--- a/src/gateway/engine_task.ts
+++ b/src/gateway/engine_task.ts
@@ -374,7 +374,7 @@
       kind: "denied",
       permitId: request.permitId,
       holder: request.holder,
-      reason: DenialReason.NotHolder,
+      reason: DenialReason.NotOwner,
       retryAfterMs: this.#holders.get(engineId)?.estimateClaimMs(now) ??
         this.#options.termMs,
     };
--- a/src/gateway/fetch_pacer.ts
+++ b/src/gateway/fetch_pacer.ts
@@ -5,8 +5,8 @@
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import type { EngineHolder } from "../core/ordering/engine_holder.ts";
 import {
+  FetchConcurrencyLimit,
   type FetchShare,
-  FetchWindow,
 } from "../core/placement/fetch_window.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type { DecisionLog } from "./decision_log.ts";
@@ -20,7 +20,7 @@
 
 export class FetchPacer {
   readonly #options: FetchPacerOptions;
-  readonly #window = new FetchWindow();
+  readonly #window = new FetchConcurrencyLimit();
   #engineCount = 0;
   #toldFullSpeed = 0;
 
@@ -30,19 +30,19 @@
 
   /** Loads that go at full speed together, as found here; undefined before any was seen. */
   get found(): number | undefined {
-    return this.#window.found;
+    return this.#window.measuredLimit;
   }
 
   /** Sets the number of engines, over all daemons. */
   setEngines(engines: number): void {
     this.#engineCount = engines;
-    this.#window.setEngines(engines);
+    this.#window.setEngineCount(engines);
   }
 
   /** Takes in what the other daemons have found. */
   followPeers(now: Milliseconds): void {
     const { fleet } = this.#options;
-    this.#window.recordFindings(fleet.listFullSpeedFetches(now));
+    this.#window.recordPeerLimits(fleet.listFullSpeedFetches(now));
   }
 
   /** Returns whether another load may start here. */
@@ -54,20 +54,20 @@
     const living = fleet.countLiving(now);
     const holders = Math.max(1, Math.min(living, this.#engineCount));
     return this.#window.computeShare({
-      own: own.fetches,
-      others: fleet.isFullMesh() ? fleet.countFetches(now) : undefined,
+      ownFetches: own.fetches,
+      peerFetches: fleet.isFullMesh() ? fleet.countFetches(now) : undefined,
       engineShare: Math.max(1, own.heldEngines) /
         Math.max(this.#engineCount, holders),
-      holders,
+      owners: holders,
     });
   }
 
   /** Learns from the loads that a holder has seen done, or late. */
   followLoads(holder: EngineHolder, now: Milliseconds): void {
-    for (const observation of holder.desk.places.takeObservations()) {
+    for (const observation of holder.desk.slots.takeObservations()) {
       this.#window.recordFetch(observation, now);
     }
-    const fullSpeed = Math.round(this.#window.fullSpeed);
+    const fullSpeed = Math.round(this.#window.limit);
     if (fullSpeed === this.#toldFullSpeed) return;
     this.#toldFullSpeed = fullSpeed;
     this.#options.metrics.setGauge("full_speed_fetches", fullSpeed);
--- a/src/gateway/permit_client.ts
+++ b/src/gateway/permit_client.ts
@@ -10,8 +10,8 @@
 } from "../core/admission/engine_desk.ts";
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import { ToldHolders } from "../core/fleet/told_holders.ts";
-import { RunPace } from "../core/admission/run_pace.ts";
-import { UndeliveredReturns } from "../core/admission/undelivered_returns.ts";
+import { RunEstimator } from "../core/admission/run_pace.ts";
+import { PermitReleaseRetryQueue } from "../core/admission/undelivered_returns.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type { PublishedUpstream } from "../core/view/published_view.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
@@ -68,11 +68,11 @@
   readonly #pendingPermits = new Map<string, PendingPermit>();
   readonly #ownRuns = new Map<string, OwnRun>();
   readonly #toldHolders = new ToldHolders();
-  readonly #returns = new UndeliveredReturns<ReturnMessage>();
+  readonly #returns = new PermitReleaseRetryQueue<ReturnMessage>();
   /** Holders that have been told of the runs here, by engine. */
   readonly #informed = new Map<string, string>();
   #lastReturnsAt = Number.NEGATIVE_INFINITY;
-  readonly #pace = new RunPace();
+  readonly #pace = new RunEstimator();
 
   constructor(options: PermitClientOptions) {
     this.#options = options;
@@ -87,7 +87,7 @@
     const reply = await this.#askDaemon(asked, engine, request);
     const { answer } = reply;
     const isElsewhere = answer.kind === "denied" &&
-      answer.reason === DenialReason.NotHolder;
+      answer.reason === DenialReason.NotOwner;
     if (!isElsewhere) return reply;
     this.#toldHolders.forget(engine.id);
     const { knownHolder } = answer;
@@ -130,7 +130,7 @@
       },
       grantorId: holderId ?? "",
     });
-    if (holderId === undefined) return createDenial(DenialReason.NotHolder);
+    if (holderId === undefined) return createDenial(DenialReason.NotOwner);
     return await new Promise<PermitReply>((resolve) => {
       const key = formatPermitKey(engine.id, request.permitId);
       const settle = (reply: PermitReply): void => {
@@ -148,14 +148,14 @@
         engineId: engine.id,
         request,
       }).then((isDelivered) => {
-        if (!isDelivered) settle(createDenial(DenialReason.NotHolder));
+        if (!isDelivered) settle(createDenial(DenialReason.NotOwner));
       });
     });
   }
 
   /** Mean duration of this daemon's runs, from place to end. */
   get meanRunMs(): Milliseconds {
-    return this.#pace.runMs;
+    return this.#pace.meanRunMs;
   }
 
   /** Notes a run of this daemon at an engine, so that a new holder can be told. */
@@ -198,8 +198,8 @@
   ): void {
     void this.#options.send(holderId, message).then((isDelivered) => {
       const now = performance.now();
-      this.#returns.recordSending(
-        { message, holderId, expiresAt },
+      this.#returns.recordSend(
+        { message, ownerId: holderId, expiresAt },
         isDelivered,
         now,
       );
@@ -212,7 +212,7 @@
     this.#lastReturnsAt = now;
     const isLiving = (id: string) => this.#options.fleet.isLiving(id, now);
     for (const due of this.#returns.takeDue(isLiving, now)) {
-      this.#returnPermit(due.message, due.holderId, due.expiresAt);
+      this.#returnPermit(due.message, due.ownerId, due.expiresAt);
     }
   }
 
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/request_flow.ts
@@ -11,7 +11,7 @@
   isIdempotent,
 } from "../core/execution/attempt_verdict.ts";
 import { EventSplitter } from "../core/execution/event_splitter.ts";
-import { HealthSign } from "../core/placement/upstream_health.ts";
+import { HealthSignal } from "../core/placement/upstream_health.ts";
 import { rankServiceUpstreams } from "../core/placement/upstream_choice.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import {
@@ -383,7 +383,7 @@
     }
     const retryAfterMs = computeRetryAfterMs({
       requestId: this.#exchange.facts.requestId,
-      expectedMs: this.#reopensInMs ?? this.#places.expectedMs,
+      expectedWaitMs: this.#reopensInMs ?? this.#places.expectedMs,
       remainingMs: this.#getRemainingMs(),
     });
     const headers = this.#context.dialect.encodeRefusalHeaders(retryAfterMs);
@@ -434,7 +434,7 @@
     metrics.count("attempts", result.outcome);
     const sign = getHealthSign(result);
     if (sign) {
-      health.recordSign(upstream.id, sign, now);
+      health.recordSignal(upstream.id, sign, now);
       this.#recordReach(upstream, sign, now);
     }
     if (result.outcome === AttemptOutcome.Answered) {
@@ -447,17 +447,17 @@
   /** Learns from an attempt whether the upstream's failure domain can be reached. */
   #recordReach(
     { id, failureDomain }: PublishedUpstream,
-    sign: HealthSign,
+    sign: HealthSignal,
     now: Milliseconds,
   ): void {
     const { reachability, fleet, log } = this.#context;
-    if (sign === HealthSign.Answered || sign === HealthSign.Rejected) {
+    if (sign === HealthSignal.Answered || sign === HealthSignal.Rejected) {
       reachability.recordReached(failureDomain);
       return;
     }
-    if (sign !== HealthSign.Unreachable) return;
+    if (sign !== HealthSignal.Unreachable) return;
     const isHeard = fleet.isDomainHeard(failureDomain, now);
-    const wasCutOff = reachability.isCutOff(failureDomain, isHeard, now);
+    const wasCutOff = reachability.isUnreachable(failureDomain, isHeard, now);
     reachability.recordUnreachable(failureDomain, now);
     if (isHeard || wasCutOff) return;
     log.info("domainCutOff", {
@@ -486,13 +486,13 @@
     const upstreams = view.listServing(this.#service.name);
     const usable = listUsableUpstreams(this.#context, upstreams, now);
     this.#reopensInMs = usable.length === 0
-      ? backoff.getShortestMs(upstreams, now)
+      ? backoff.getShortestRemainingMs(upstreams, now)
       : undefined;
     const ranked = rankServiceUpstreams(usable, {
       failureDomain,
       health,
       getLoad: (id) => serviceLoads.get(id),
-      tieKey: this.#exchange.facts.requestId,
+      tieBreakKey: this.#exchange.facts.requestId,
     }, now);
     return ranked.find((each) => !this.#passedOver.has(each.id)) ?? ranked[0];
   }
--- a/src/gateway/usable_upstreams.ts
+++ b/src/gateway/usable_upstreams.ts
@@ -14,7 +14,7 @@
 ): readonly PublishedUpstream[] {
   const { backoff, reachability, fleet } = context;
   return reachability.selectReachable(
-    backoff.listOpen(upstreams, now),
+    backoff.listAvailable(upstreams, now),
     (failureDomain) => fleet.isDomainHeard(failureDomain, now),
     now,
   );
--- a/test/core/admission/batch_room_test.ts
+++ b/test/core/admission/batch_room_test.ts
@@ -1,7 +1,7 @@
 /** How fast an engine reads prompts is learnt from long ones; short ones tell nothing. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { BatchRoom } from "../../../src/core/admission/batch_room.ts";
+import { BatchCapacity } from "../../../src/core/admission/batch_room.ts";
 
 function createDemand(promptTokens: number) {
   return {
@@ -14,14 +14,17 @@
 
 /** Reads prompts one after the other at a speed; returns the estimate for a further one. */
 function play(promptTokens: number, tokensPerMs: number): number {
-  const room = new BatchRoom({ batchSize: 64, kvCapacityTokens: 1_000_000 });
+  const room = new BatchCapacity({
+    batchSize: 64,
+    kvCapacityTokens: 1_000_000,
+  });
   for (let round = 0; round < 40; round += 1) {
     const now = round * 10_000;
     room.admit(`p${round}`, createDemand(promptTokens), now);
     room.recordFirstToken(`p${round}`, now + promptTokens / tokensPerMs);
     room.release(`p${round}`);
   }
-  return room.estimateOwnPrefillMs(createDemand(9_190));
+  return room.estimatePrefillMs(createDemand(9_190));
 }
 
 test("an engine that reads slowly is found out by long prompts", () => {
@@ -30,7 +33,10 @@
 });
 
 test("prompts before one's own count", () => {
-  const room = new BatchRoom({ batchSize: 64, kvCapacityTokens: 1_000_000 });
+  const room = new BatchCapacity({
+    batchSize: 64,
+    kvCapacityTokens: 1_000_000,
+  });
   for (let round = 0; round < 40; round += 1) {
     const now = round * 10_000;
     room.admit(`a${round}`, createDemand(6_000), now);
@@ -40,7 +46,7 @@
     room.release(`a${round}`);
     room.release(`b${round}`);
   }
-  const estimateMs = room.estimateOwnPrefillMs(createDemand(9_000));
+  const estimateMs = room.estimatePrefillMs(createDemand(9_000));
   assert.ok(Math.abs(estimateMs - 300) < 15, String(estimateMs));
 });
 
--- a/test/core/admission/engine_desk_test.ts
+++ b/test/core/admission/engine_desk_test.ts
@@ -1,20 +1,20 @@
 /** Replays of loads at one engine's desk: slots, prompts, priorities and patience. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { BatchRoom } from "../../../src/core/admission/batch_room.ts";
+import { BatchCapacity } from "../../../src/core/admission/batch_room.ts";
 import {
-  EngineDesk,
+  AdmissionController,
+  type EngineOrder,
   type PermitRequest,
-  type WantedOrder,
 } from "../../../src/core/admission/engine_desk.ts";
-import { AdapterPlaces } from "../../../src/core/placement/adapter_places.ts";
+import { AdapterSlots } from "../../../src/core/placement/adapter_places.ts";
 
 const SLOTS = 2;
 
-function createDesk(batchSize = 8): EngineDesk {
-  return new EngineDesk(
-    new AdapterPlaces(SLOTS),
-    new BatchRoom({ batchSize, kvCapacityTokens: 100_000 }),
+function createDesk(batchSize = 8): AdmissionController {
+  return new AdmissionController(
+    new AdapterSlots(SLOTS),
+    new BatchCapacity({ batchSize, kvCapacityTokens: 100_000 }),
   );
 }
 
@@ -43,21 +43,21 @@
 }
 
 /** Carries out the wanted orders at once, as an engine without other work does. */
-function carryOutOrders(desk: EngineDesk, now: number): WantedOrder[] {
-  const orders: WantedOrder[] = [];
+function carryOutOrders(desk: AdmissionController, now: number): EngineOrder[] {
+  const orders: EngineOrder[] = [];
   for (
-    let order = desk.findWantedOrder(true, now);
+    let order = desk.findNextOrder(true, now);
     order;
-    order = desk.findWantedOrder(true, now)
+    order = desk.findNextOrder(true, now)
   ) {
     orders.push(order);
-    if (order.kind === "evict") desk.places.recordEvicted(order.adapterPath);
-    else desk.places.recordLoadOrdered(order.adapterPath, order.version, now);
+    if (order.kind === "evict") desk.slots.recordEvicted(order.adapterPath);
+    else desk.slots.recordLoadOrdered(order.adapterPath, order.version, now);
   }
   return orders;
 }
 
-function listGranted(desk: EngineDesk): string[] {
+function listGranted(desk: AdmissionController): string[] {
   return desk.takeAnswers()
     .filter((answer) => answer.kind === "granted")
     .map((answer) => answer.permitId);
@@ -85,7 +85,7 @@
   desk.tick(300);
   const [, second] = listGranted(desk);
   desk.requestPermit(createRequest({ adapter: "a3", isLastChoice: true }), 310);
-  assert.is(desk.findWantedOrder(true, 310), undefined);
+  assert.is(desk.findNextOrder(true, 310), undefined);
   desk.recordFirstToken(second ?? "", 315);
   desk.releasePermit(second ?? "", 320);
   const orders = carryOutOrders(desk, 320);
@@ -115,7 +115,7 @@
   const held = new Map(
     ["m/a1", "m/a2"].map((path) => [path, { version: 1, isComing: false }]),
   );
-  desk.places.reconcile(held, 0);
+  desk.slots.reconcile(held, 0);
   desk.beginAdoption(0);
   desk.adoptPermit({
     permitId: "theirs",
@@ -126,8 +126,8 @@
     lifetimeMs: 5_000,
   }, 100);
   desk.requestPermit(createRequest({ adapter: "a3", isLastChoice: true }), 100);
-  assert.is(desk.findWantedOrder(true, 100), undefined);
-  const order = desk.findWantedOrder(true, 1_000);
+  assert.is(desk.findNextOrder(true, 100), undefined);
+  const order = desk.findNextOrder(true, 1_000);
   assert.is(order?.adapterPath, "m/a2");
 });
 
@@ -207,7 +207,7 @@
 
 test("a newer version is loaded in place of the old one before it is used", () => {
   const desk = createDesk();
-  desk.places.reconcile(
+  desk.slots.reconcile(
     new Map([["m/a1", { version: 1, isComing: false }]]),
     0,
   );
@@ -221,9 +221,9 @@
 });
 
 test("four loads at most are on their way to an engine", () => {
-  const desk = new EngineDesk(
-    new AdapterPlaces(8),
-    new BatchRoom({ batchSize: 8, kvCapacityTokens: 100_000 }),
+  const desk = new AdmissionController(
+    new AdapterSlots(8),
+    new BatchCapacity({ batchSize: 8, kvCapacityTokens: 100_000 }),
   );
   for (let index = 0; index < 7; index += 1) {
     const adapter = `a${index}`;
@@ -243,11 +243,11 @@
     createRequest({ adapter: "a3", patienceMs: 5_000, isLastChoice: true }),
     300,
   );
-  assert.is(desk.places.getPlace("m/a1")?.state, "loading");
+  assert.is(desk.slots.getSlot("m/a1")?.state, "loading");
   desk.tick(400);
-  assert.is(desk.places.getPlace("m/a1")?.state, "resident", "by the estimate");
-  assert.is(desk.findWantedOrder(true, 400), undefined);
-  assert.is(desk.findWantedOrder(true, 2_000)?.kind, "evict", "long after");
+  assert.is(desk.slots.getSlot("m/a1")?.state, "resident", "by the estimate");
+  assert.is(desk.findNextOrder(true, 400), undefined);
+  assert.is(desk.findNextOrder(true, 2_000)?.kind, "evict", "long after");
 });
 
 test("a first token, or the engine's report, confirms a load", () => {
@@ -267,7 +267,7 @@
     "m/a1",
   ]);
   const reported = { version: 1, isComing: false };
-  desk.places.reconcile(
+  desk.slots.reconcile(
     new Map([["m/a1", reported], ["m/a2", reported]]),
     600,
   );
@@ -278,33 +278,33 @@
   const desk = createDesk();
   const reported = { version: 1, isComing: false };
   const both = new Map([["m/a1", reported], ["m/a2", reported]]);
-  desk.places.reconcile(both, 0);
+  desk.slots.reconcile(both, 0);
   const request = createRequest({ adapter: "a3", patienceMs: 5_000 });
   desk.requestPermit(request, 0);
-  assert.is(desk.findWantedOrder(true, 0)?.kind, "evict");
-  desk.places.recordDraining("m/a1");
-  desk.places.recordDraining("m/a2");
-  assert.is(desk.findWantedOrder(true, 10), undefined);
-  desk.places.reconcile(both, 300);
-  assert.is(desk.findWantedOrder(true, 300), undefined);
-  assert.ok(desk.places.hasDraining());
-  desk.places.reconcile(new Map([["m/a2", reported]]), 600);
-  assert.equal(desk.findWantedOrder(true, 600)?.adapterPath, "m/a3");
+  assert.is(desk.findNextOrder(true, 0)?.kind, "evict");
+  desk.slots.recordDraining("m/a1");
+  desk.slots.recordDraining("m/a2");
+  assert.is(desk.findNextOrder(true, 10), undefined);
+  desk.slots.reconcile(both, 300);
+  assert.is(desk.findNextOrder(true, 300), undefined);
+  assert.ok(desk.slots.hasDraining());
+  desk.slots.reconcile(new Map([["m/a2", reported]]), 600);
+  assert.equal(desk.findNextOrder(true, 600)?.adapterPath, "m/a3");
 });
 
 test("evictions begin as soon as all daemons have told of their runs", () => {
   const desk = createDesk();
   const reported = { version: 1, isComing: false };
-  desk.places.reconcile(
+  desk.slots.reconcile(
     new Map([["m/a1", reported], ["m/a2", reported]]),
     0,
   );
   desk.beginAdoption(0);
   const request = createRequest({ adapter: "a3", patienceMs: 5_000 });
   desk.requestPermit(request, 0);
-  assert.is(desk.findWantedOrder(true, 50), undefined);
+  assert.is(desk.findNextOrder(true, 50), undefined);
   desk.endAdoption(60);
-  assert.is(desk.findWantedOrder(true, 60)?.kind, "evict");
+  assert.is(desk.findNextOrder(true, 60)?.kind, "evict");
 });
 
 test("whose first token can still be in time is loaded for first, whoever waits longer", () => {
@@ -317,7 +317,7 @@
   const inTime = createRequest({ adapter: "a2", firstTokenBudgetMs: 900 });
   desk.requestPermit(late, 0);
   desk.requestPermit(inTime, 5);
-  assert.is(desk.findWantedOrder(true, 10)?.adapterPath, "m/a2");
+  assert.is(desk.findNextOrder(true, 10)?.adapterPath, "m/a2");
   assert.equal(
     carryOutOrders(desk, 10).map((order) => order.adapterPath),
     ["m/a2", "m/a1"],
@@ -326,12 +326,12 @@
 
 test("a long wait for the weight store sends nobody elsewhere, one for slots does", () => {
   const desk = createDesk();
-  desk.places.setFetchShare({
+  desk.slots.setFetchShare({
     fleetFetches: 30,
-    fullSpeedFetches: 10,
-    isLast: true,
-    isOnlyOwn: false,
-    perEngine: 1,
+    fetchLimit: 10,
+    isAtHostShare: true,
+    isAtMinConcurrency: false,
+    fetchesPerEngine: 1,
   });
   const waiting = createRequest({ adapter: "a1", firstTokenBudgetMs: 500 });
   desk.requestPermit(waiting, 0);
@@ -353,10 +353,10 @@
 test("an adapter that is still there after its eviction drains, and is not evicted again", () => {
   const desk = createDesk();
   const reported = { version: 1, isComing: false };
-  desk.places.reconcile(new Map([["m/a1", reported]]), 0);
+  desk.slots.reconcile(new Map([["m/a1", reported]]), 0);
   assert.is(desk.listEvictable(0).length, 1);
-  desk.places.recordEvicted("m/a1");
-  desk.places.reconcile(new Map([["m/a1", reported]]), 500);
+  desk.slots.recordEvicted("m/a1");
+  desk.slots.reconcile(new Map([["m/a1", reported]]), 500);
   assert.is(desk.listEvictable(500).length, 0);
   assert.is(desk.listEvictable(2_000).length, 1);
 });
--- a/test/core/admission/refusal_advice_test.ts
+++ b/test/core/admission/refusal_advice_test.ts
@@ -3,15 +3,15 @@
 import * as assert from "uvu/assert";
 import { computeRetryAfterMs } from "../../../src/core/admission/refusal_advice.ts";
 import {
+  canAdmitWhileStopping,
   canFinishBefore,
-  canTakeWhileStopping,
 } from "../../../src/core/admission/stop_admission.ts";
 
 test("a crowd refused in one moment returns spread over half of the wait", () => {
   const times = Array.from({ length: 200 }, (_, index) =>
     computeRetryAfterMs({
       requestId: `r${index}`,
-      expectedMs: 400,
+      expectedWaitMs: 400,
       remainingMs: 9_000,
     }));
   assert.ok(Math.min(...times) >= 400);
@@ -23,7 +23,7 @@
 test("the time is one that the caller honours", () => {
   const time = computeRetryAfterMs({
     requestId: "r",
-    expectedMs: 5_000,
+    expectedWaitMs: 5_000,
     remainingMs: 900,
   });
   assert.is(time, 300);
@@ -58,10 +58,10 @@
   };
   const booking = { ...chat, isGeneration: false, latencyObjectiveMs: 193 };
   const stop = { beganAt: 1_000, endsAt: 8_700 };
-  assert.ok(canTakeWhileStopping(stop, chat, 3_400));
-  assert.not(canTakeWhileStopping(stop, chat, 4_340));
-  assert.ok(canTakeWhileStopping(stop, booking, 4_340));
-  assert.not(canTakeWhileStopping(stop, booking, 8_000));
+  assert.ok(canAdmitWhileStopping(stop, chat, 3_400));
+  assert.not(canAdmitWhileStopping(stop, chat, 4_340));
+  assert.ok(canAdmitWhileStopping(stop, booking, 4_340));
+  assert.not(canAdmitWhileStopping(stop, booking, 8_000));
 });
 
 test.run();
--- a/test/core/ordering/holder_roles_test.ts
+++ b/test/core/ordering/holder_roles_test.ts
@@ -9,11 +9,11 @@
 const PEER = { id: "peer", ip: "10.0.0.2", failureDomain: "a" };
 const FETCH_SHARE = {
   fleetFetches: 0,
-  fullSpeedFetches: 8,
+  fetchLimit: 8,
   canFetch: true,
-  isOnlyOwn: true,
-  perEngine: 1,
-  isLast: false,
+  isAtMinConcurrency: true,
+  fetchesPerEngine: 1,
+  isAtHostShare: false,
 };
 const SETTLED_MS = 3_000;
 
--- a/test/core/placement/adapter_demand_test.ts
+++ b/test/core/placement/adapter_demand_test.ts
@@ -6,7 +6,10 @@
 test("a steady demand is found within a few half lives, and forgotten as fast", () => {
   const demand = new AdapterDemand();
   for (let now = 0; now < 30_000; now += 100) {
-    demand.recordRequest({ adapterPath: "m/a1", ownTokens: 400 }, now);
+    demand.recordRequest(
+      { adapterPath: "m/a1", unsharedPromptTokens: 400 },
+      now,
+    );
   }
   const { requestsPerMs, tokensPerMs } = demand.getRate("m/a1", 30_000);
   assert.ok(Math.abs(requestsPerMs - 0.01) < 0.001, `${requestsPerMs}`);
@@ -17,11 +20,11 @@
 
 test("one or two requests are no demand, however many hosts there are to multiply them by", () => {
   const demand = new AdapterDemand();
-  demand.recordRequest({ adapterPath: "m/a1", ownTokens: 400 }, 0);
-  demand.recordRequest({ adapterPath: "m/a1", ownTokens: 400 }, 100);
+  demand.recordRequest({ adapterPath: "m/a1", unsharedPromptTokens: 400 }, 0);
+  demand.recordRequest({ adapterPath: "m/a1", unsharedPromptTokens: 400 }, 100);
   assert.is(demand.getRate("m/a1", 200).requestsPerMs, 0);
-  demand.recordRequest({ adapterPath: "m/a1", ownTokens: 400 }, 200);
-  demand.recordRequest({ adapterPath: "m/a1", ownTokens: 400 }, 300);
+  demand.recordRequest({ adapterPath: "m/a1", unsharedPromptTokens: 400 }, 200);
+  demand.recordRequest({ adapterPath: "m/a1", unsharedPromptTokens: 400 }, 300);
   assert.ok(demand.getRate("m/a1", 300).requestsPerMs > 0);
 });
 
@@ -31,7 +34,7 @@
     const now = request * 5;
     const isRare = request % 10 !== 0;
     const adapterPath = isRare ? `m/rare${request}` : "m/busy";
-    demand.recordRequest({ adapterPath, ownTokens: 1 }, now);
+    demand.recordRequest({ adapterPath, unsharedPromptTokens: 1 }, now);
   }
   const { requestsPerMs } = demand.getRate("m/busy", 100_000);
   assert.ok(requestsPerMs > 0.015, `${requestsPerMs}`);
--- a/test/core/placement/domain_reachability_test.ts
+++ b/test/core/placement/domain_reachability_test.ts
@@ -35,18 +35,18 @@
 test("one failed upstream does not close a failure domain whose peers are heard", () => {
   const reachability = new DomainReachability();
   reachability.recordUnreachable("b", 0);
-  assert.not(reachability.isCutOff("b", true, 10));
-  assert.ok(reachability.isCutOff("b", false, 10));
-  assert.not(reachability.isCutOff("c", false, 10));
+  assert.not(reachability.isUnreachable("b", true, 10));
+  assert.ok(reachability.isUnreachable("b", false, 10));
+  assert.not(reachability.isUnreachable("c", false, 10));
 });
 
 test("an answer from there opens it again, and so does time", () => {
   const reachability = new DomainReachability();
   reachability.recordUnreachable("b", 0);
   reachability.recordReached("b");
-  assert.not(reachability.isCutOff("b", false, 10));
+  assert.not(reachability.isUnreachable("b", false, 10));
   reachability.recordUnreachable("b", 100);
-  assert.not(reachability.isCutOff("b", false, 4_000));
+  assert.not(reachability.isUnreachable("b", false, 4_000));
 });
 
 test("where nothing can be reached nothing is left out", () => {
--- a/test/core/placement/fetch_window_test.ts
+++ b/test/core/placement/fetch_window_test.ts
@@ -4,8 +4,8 @@
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { AdapterPlaces } from "../../../src/core/placement/adapter_places.ts";
-import { FetchWindow } from "../../../src/core/placement/fetch_window.ts";
+import { AdapterSlots } from "../../../src/core/placement/adapter_places.ts";
+import { FetchConcurrencyLimit } from "../../../src/core/placement/fetch_window.ts";
 
 const STEP_MS = 10;
 /** Adapters on their way to one engine, at most: the platform's bound. */
@@ -25,7 +25,7 @@
 }
 
 interface SimulatedHost {
-  window: FetchWindow;
+  window: FetchConcurrencyLimit;
   engines: SimulatedEngine[];
   /** What it said last of its loads on the way, and of those at full speed. */
   toldFetches: number;
@@ -33,7 +33,7 @@
 }
 
 class SimulatedEngine {
-  readonly places = new AdapterPlaces(MAX_COMING + 4);
+  readonly places = new AdapterSlots(MAX_COMING + 4);
   readonly host: SimulatedHost;
 
   constructor(host: SimulatedHost) {
@@ -50,7 +50,7 @@
 
 function countOwn(host: SimulatedHost): number {
   return host.engines.reduce(
-    (count, each) => count + each.places.countComing(),
+    (count, each) => count + each.places.countLoading(),
     0,
   );
 }
@@ -66,8 +66,8 @@
   untilMs: number;
 }): Outcome {
   const hosts = Array.from({ length: options.hosts }, (): SimulatedHost => {
-    const window = new FetchWindow();
-    window.setEngines(options.engines);
+    const window = new FetchConcurrencyLimit();
+    window.setEngineCount(options.engines);
     return { window, engines: [], toldFetches: 0, toldFullSpeed: undefined };
   });
   const engines = Array.from({ length: options.engines }, (_, index) => {
@@ -89,7 +89,7 @@
     for (const load of loads) load.leftMs -= STEP_MS * speed;
     for (const engine of engines) followLoads(engine, loads, now);
     const before = loads.length;
-    loads = loads.filter((load) => load.engine.places.getPlace(load.path));
+    loads = loads.filter((load) => load.engine.places.getSlot(load.path));
     if (now >= options.fromMs) {
       done += before - loads.length;
       sum += loads.length;
@@ -99,9 +99,9 @@
       const isBeat = (now + index * 70) % HEARTBEAT_MS < STEP_MS;
       if (!isBeat) return;
       host.toldFetches = countOwn(host);
-      host.toldFullSpeed = host.window.found;
+      host.toldFullSpeed = host.window.measuredLimit;
       if (!isFullMesh) return;
-      host.window.recordFindings(
+      host.window.recordPeerLimits(
         hosts.filter((each) => each !== host)
           .flatMap((each) => each.toldFullSpeed ?? []),
       );
@@ -114,13 +114,13 @@
         0,
       );
       const share = host.window.computeShare({
-        own,
-        others: isFullMesh ? others : undefined,
+        ownFetches: own,
+        peerFetches: isFullMesh ? others : undefined,
         engineShare: Math.max(1, host.engines.length) /
           Math.max(options.engines, holders),
-        holders,
+        owners: holders,
       });
-      if (places.countComing() >= MAX_COMING || !share.canFetch) continue;
+      if (places.countLoading() >= MAX_COMING || !share.canFetch) continue;
       next += 1;
       const path = `m/a${next}`;
       places.setFetchShare(share);
@@ -144,8 +144,8 @@
     if (load && load.leftMs > 0) {
       places.recordLoadLate(place, RETRY_MS, now);
     } else {
-      places.recordConfirmed(place);
-      for (let token = 0; token < 5; token += 1) places.recordLoadInTime(now);
+      places.recordLoadConfirmed(place);
+      for (let token = 0; token < 5; token += 1) places.recordLoadOnTime(now);
       places.recordEvicted(place.adapterPath);
     }
   }
@@ -204,9 +204,9 @@
 }
 
 test("loads beside few others tell nothing", () => {
-  const window = new FetchWindow();
-  window.setEngines(13);
-  const before = window.fullSpeed;
+  const window = new FetchConcurrencyLimit();
+  window.setEngineCount(13);
+  const before = window.limit;
   for (let load = 0; load < 50; load += 1) {
     const orderedAt = load * 300;
     const durationMs = load % 2 === 0 ? 260 : 600;
@@ -222,12 +222,12 @@
       orderedAt + durationMs,
     );
   }
-  assert.is(window.fullSpeed, before);
+  assert.is(window.limit, before);
 });
 
 test("loads that were late together lower the estimate once", () => {
-  const window = new FetchWindow();
-  window.setEngines(100);
+  const window = new FetchConcurrencyLimit();
+  window.setEngineCount(100);
   const record = (orderedAt: number, crowd: number, durationMs: number) =>
     window.recordFetch(
       {
@@ -241,17 +241,17 @@
       orderedAt + durationMs,
     );
   record(0, 1, 260);
-  const opened = window.fullSpeed;
+  const opened = window.limit;
   for (let load = 0; load < 10; load += 1) record(load, 60, 1_000);
-  assert.is(window.fullSpeed, opened / 2);
+  assert.is(window.limit, opened / 2);
   record(2_000, 20, 1_000);
-  assert.is(window.fullSpeed, opened / 4);
+  assert.is(window.limit, opened / 4);
 });
 
 test("a load that is a little late does not lower the estimate below the first one", () => {
-  const window = new FetchWindow();
-  window.setEngines(100);
-  const first = window.fullSpeed;
+  const window = new FetchConcurrencyLimit();
+  window.setEngineCount(100);
+  const first = window.limit;
   const record = (orderedAt: number, durationMs: number) =>
     window.recordFetch(
       {
@@ -265,23 +265,23 @@
       orderedAt + durationMs,
     );
   for (let load = 0; load < 9; load += 1) record(load, 260);
-  const opened = window.fullSpeed;
+  const opened = window.limit;
   record(1_000, 360);
-  assert.is(window.fullSpeed, 0.85 * opened);
+  assert.is(window.limit, 0.85 * opened);
   for (let load = 2; load < 20; load += 1) record(load * 1_000, 360);
-  assert.is(window.fullSpeed, first);
+  assert.is(window.limit, first);
 });
 
 test("a load that has not taken long yet tells nothing", () => {
-  const window = new FetchWindow();
-  window.setEngines(100);
+  const window = new FetchConcurrencyLimit();
+  window.setEngineCount(100);
   const load = { orderedAt: 0, crowd: 60, isOnlyOwn: false, isLast: true };
   window.recordFetch(
     { ...load, isOnlyOwn: false, isLast: false, durationMs: 260, isDone: true },
     260,
   );
   window.recordFetch({ ...load, durationMs: 280, isDone: false }, 280);
-  assert.is(window.fullSpeed, 65);
+  assert.is(window.limit, 65);
 });
 
 test.run();
--- a/test/core/placement/upstream_backoff_test.ts
+++ b/test/core/placement/upstream_backoff_test.ts
@@ -91,13 +91,16 @@
       backoff.recordBackoff(notice.upstream, notice.ms, notice.at);
     }
     const upstreams = [FIRST, SECOND];
-    assert.equal(backoff.listOpen(upstreams, at).map(({ id }) => id), open);
-    assert.is(backoff.getShortestMs(upstreams, at), shortestMs);
+    assert.equal(
+      backoff.listAvailable(upstreams, at).map(({ id }) => id),
+      open,
+    );
+    assert.is(backoff.getShortestRemainingMs(upstreams, at), shortestMs);
   });
 }
 
 test("without an upstream there is no shortest time", () => {
-  assert.is(new UpstreamBackoff().getShortestMs([], 0), undefined);
+  assert.is(new UpstreamBackoff().getShortestRemainingMs([], 0), undefined);
 });
 
 test.run();
--- a/test/core/placement/upstream_choice_test.ts
+++ b/test/core/placement/upstream_choice_test.ts
@@ -27,9 +27,9 @@
 /** An adapter that is hardly asked for. */
 const IDLE = {
   failureDomain: "a",
-  runs: 0,
-  reading: 0,
-  costsLoads: true,
+  concurrentRuns: 0,
+  prefillLoad: 0,
+  isLoadNeeded: true,
   spreadKey: "r",
 };
 
@@ -54,7 +54,7 @@
 
 test("an adapter in wide use is served in its callers' failure domain, the rest at one home", () => {
   const health = new UpstreamHealth();
-  const busy = { ...IDLE, runs: 3 };
+  const busy = { ...IDLE, concurrentRuns: 3 };
   for (const failureDomain of ["a", "b", "c"]) {
     const [home] = rankEngines(
       "m/a1",
@@ -80,8 +80,8 @@
   for (let request = 0; request < 300; request += 1) {
     const demand = {
       ...IDLE,
-      runs: 20,
-      reading: 0.6,
+      concurrentRuns: 20,
+      prefillLoad: 0.6,
       spreadKey: `r${request}`,
     };
     const [home] = rankEngines("m/a1", SPREAD_OUT, demand, health, 0);
@@ -115,7 +115,7 @@
 
 test("the base model costs no load and is asked for nearby", () => {
   const health = new UpstreamHealth();
-  const demand = { ...IDLE, failureDomain: "b", costsLoads: false };
+  const demand = { ...IDLE, failureDomain: "b", isLoadNeeded: false };
   const [first] = rankEngines("m|part", SPREAD_OUT, demand, health, 0);
   assert.is(first?.failureDomain, "b");
 });
@@ -123,7 +123,7 @@
 test("an engine that can't be reached is asked last, and again after its pause", () => {
   const health = new UpstreamHealth();
   const [home] = rankEngines("m/a1", UPSTREAMS, IDLE, health, 0);
-  health.recordSign(home?.id ?? "", "unreachable", 0);
+  health.recordSignal(home?.id ?? "", "unreachable", 0);
   const during = rankEngines("m/a1", UPSTREAMS, IDLE, health, 100);
   assert.is(during.at(-1)?.id, home?.id);
   assert.is(
@@ -139,18 +139,18 @@
       failureDomain: "a",
       health,
       getLoad: () => undefined,
-      tieKey: key,
+      tieBreakKey: key,
     }, now)[0]?.id;
   for (let index = 0; index < 12; index += 1) {
     const sign = index % 2 === 0 ? "failed" : "answered";
-    health.recordSign("3", sign, index * 100);
+    health.recordSignal("3", sign, index * 100);
   }
   const countThird = (now: number) =>
     Array.from({ length: 200 }, (_, index) => rankAt(now, `r${index}`))
       .filter((id) => id === "3").length;
   assert.is(countThird(1_200), 0);
   for (let at = 20_000; at < 24_000; at += 100) {
-    health.recordSign("3", "answered", at);
+    health.recordSignal("3", "answered", at);
   }
   assert.ok(countThird(60_000) > 15);
 });
@@ -166,7 +166,7 @@
         id === "near"
           ? { ownRunning, reportedRunning: 0, reportedAt: 0 }
           : undefined,
-      tieKey: "r",
+      tieBreakKey: "r",
     }, 0)[0]?.id;
   assert.is(rank(1), "near");
   assert.is(rank(2), "far");
--- a/test/core/placement/upstream_health_test.ts
+++ b/test/core/placement/upstream_health_test.ts
@@ -35,7 +35,7 @@
     const chosen = ids.find((id) => !health.isAvoided(`${id}`, now)) ?? 0;
     const hasFailed = chosen < ILL && drawShare(request) < 0.4;
     if (hasFailed) failures += 1;
-    health.recordSign(`${chosen}`, hasFailed ? "failed" : "answered", now);
+    health.recordSignal(`${chosen}`, hasFailed ? "failed" : "answered", now);
   }
   return failures;
 }
--- a/test/fuzz/tenure_fuzz_test.ts
+++ b/test/fuzz/tenure_fuzz_test.ts
@@ -366,11 +366,11 @@
         peers: undefined,
         fetchShare: {
           fleetFetches: 0,
-          fullSpeedFetches: 8,
+          fetchLimit: 8,
           canFetch: true,
-          isLast: false,
-          isOnlyOwn: false,
-          perEngine: 1,
+          isAtHostShare: false,
+          isAtMinConcurrency: false,
+          fetchesPerEngine: 1,
         },
       };
       carryOut(index, holder.tick(situation, now));
