--- a/src/core/daemon_core.ts
+++ b/src/core/daemon_core.ts
@@ -20,9 +20,9 @@
 import { Membership } from "./membership/membership.ts";
 import { ClaimVerdict, type PeerMessage } from "./messages.ts";
 import { getUnclaimedOutcome, RefusalReason } from "./outcomes.ts";
-import { StoreAccess } from "./residency/store_access.ts";
+import { StorePermitClient } from "./residency/store_access.ts";
 import type { OwnedUpstreamDescription } from "./residency/owner_description.ts";
-import { UpstreamOwnership } from "./residency/upstream_ownership.ts";
+import { OwnedUpstreams } from "./residency/upstream_ownership.ts";
 import type { RankedUpstream } from "./routing/upstream_selector.ts";
 import type { HostStructure, Milliseconds } from "./structures.ts";
 import { TableKeeper } from "./tables/table_keeper.ts";
@@ -65,10 +65,10 @@
   readonly #tables = new TableKeeper();
   readonly #membership: Membership;
   readonly #quarantine: CrashQuarantine;
-  readonly #store: StoreAccess;
+  readonly #store: StorePermitClient;
   readonly #tickets: TicketBook;
   readonly #executor: RequestExecutor;
-  readonly #ownership: UpstreamOwnership;
+  readonly #ownership: OwnedUpstreams;
   readonly #control: ControlPlane;
   #state: DaemonState = daemonChart.initial;
   #effects: Effect[] = [];
@@ -81,7 +81,7 @@
     this.#lastEventAt = now;
     this.#membership = new Membership({ selfId, failureDomain });
     this.#quarantine = new CrashQuarantine(settings);
-    this.#store = new StoreAccess({
+    this.#store = new StorePermitClient({
       selfId,
       incarnation,
       failureDomain,
@@ -104,7 +104,7 @@
         this.#ownership.mergeEvictions(evictions, at),
       handleTablesChanged: (at) => this.#updateOwnership(at),
     }, now);
-    this.#ownership = new UpstreamOwnership({
+    this.#ownership = new OwnedUpstreams({
       selfId,
       incarnation,
       settings,
@@ -240,7 +240,7 @@
       case "upstreamStateUnread":
         if (this.#executor.handleExamination(event, now)) break;
         this.#ownership.getOwner(event.upstreamId)
-          ?.recordStateUnread(event.readId, event.isRefused, now);
+          ?.recordStateReadFailure(event.readId, event.isRefused, now);
         break;
       case "orderEnded":
         this.#ownership.recordOrderEnd(event.orderId, event.result, now);
@@ -296,7 +296,7 @@
         break;
       case "storePermit": {
         const permit = this.#store.acceptPermit(from, message, now);
-        if (permit) this.#ownership.takePermit(permit, now);
+        if (permit) this.#ownership.startMostUrgentLoad(permit, now);
         break;
       }
       case "storePermitReturn":
--- a/src/core/execution/request_assigner.ts
+++ b/src/core/execution/request_assigner.ts
@@ -101,7 +101,7 @@
     const hosts = membership.getPoolUpstreams(pool);
     const target = { pool, adapterKey, excluded };
     const shortlist = listShortlist(hosts, {
-      holderIds: membership.getAdapterUpstreamIds(adapterKey),
+      adapterUpstreamIds: membership.getAdapterUpstreamIds(adapterKey),
       key: adapterKey === "" ? request.id : adapterKey,
       getPoolHost: (id) => membership.getPoolUpstream(pool, id),
     });
--- a/src/core/residency/lease_granter.ts
+++ b/src/core/residency/lease_granter.ts
@@ -1,13 +1,13 @@
 /** Grants leases on one upstream within its batch room, and takes them back. */
 import type { HandoverMessage, LeaseRequestMessage } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { LeaseLedger } from "./lease_ledger.ts";
+import { GrantedLeases } from "./lease_ledger.ts";
 import type { LeaseQueue, WaitingLeaseRequest } from "./lease_queue.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { UpstreamReader } from "./upstream_reader.ts";
 
 export class LeaseGranter {
-  readonly ledger = new LeaseLedger();
+  readonly leases = new GrantedLeases();
   readonly #context: OwnerContext;
   readonly #queue: LeaseQueue;
   readonly #reader: UpstreamReader;
@@ -24,16 +24,19 @@
   /** Grants what the batch has room for; the request stays queued when there is none. */
   tryGrant(
     waiting: WaitingLeaseRequest,
-    isFreeOfPredecessors: boolean,
+    hasNoPredecessorRun: boolean,
     now: Milliseconds,
   ): void {
     const { request, holder } = waiting;
     const { settings, pool } = this.#context.options;
-    const room = pool.batchSize - this.ledger.getCreditsInUse();
-    if (room <= 0 || this.ledger.hasExclusiveLease()) return;
-    const isAlone = this.ledger.getCreditsInUse() === 0 && isFreeOfPredecessors;
-    if (request.exclusive && !isAlone) return;
-    const credits = request.exclusive ? 1 : Math.min(room, request.credits);
+    const freeCredits = pool.batchSize - this.leases.getCreditsInUse();
+    if (freeCredits <= 0 || this.leases.hasExclusiveLease()) return;
+    const isUpstreamIdle = this.leases.getCreditsInUse() === 0 &&
+      hasNoPredecessorRun;
+    if (request.exclusive && !isUpstreamIdle) return;
+    const credits = request.exclusive
+      ? 1
+      : Math.min(freeCredits, request.credits);
     const windowEndsAt = now + settings.leaseWindowMs + settings.leaseMarginMs;
     this.#context.options.creditShares.recordUse(
       request.customer,
@@ -41,7 +44,7 @@
       now,
     );
     const leaseId = this.#context.createId("lease");
-    this.ledger.addLease({
+    this.leases.addLease({
       leaseId,
       leaseRequestId: request.leaseRequestId,
       holder,
@@ -50,7 +53,7 @@
       returnedCredits: 0,
       exclusive: request.exclusive,
       windowEndsAt,
-      safeUntil: windowEndsAt + request.maxRunMs,
+      expiresAt: windowEndsAt + request.maxRunMs,
     });
     this.#queue.remove(request.leaseRequestId);
     this.#sendGrant(leaseId, holder, request, {
@@ -68,13 +71,13 @@
     request: LeaseRequestMessage,
     options: { canGrant: boolean; now: Milliseconds },
   ): boolean {
-    const lease = this.ledger.getByRequestId(request.leaseRequestId);
+    const lease = this.leases.getByRequestId(request.leaseRequestId);
     if (!lease) return false;
     if (!options.canGrant) return true;
     const { settings } = this.#context.options;
     lease.windowEndsAt = options.now + settings.leaseWindowMs +
       settings.leaseMarginMs;
-    lease.safeUntil = lease.windowEndsAt + request.maxRunMs;
+    lease.expiresAt = lease.windowEndsAt + request.maxRunMs;
     this.#sendGrant(lease.leaseId, holder, request, {
       credits: lease.credits,
       loaded: false,
@@ -84,8 +87,8 @@
 
   /** Takes back the whole grant of a request that its holder gave up. */
   cancelGrant(leaseRequestId: string): void {
-    const granted = this.ledger.getByRequestId(leaseRequestId);
-    if (granted) this.ledger.removeLease(granted.leaseId);
+    const granted = this.leases.getByRequestId(leaseRequestId);
+    if (granted) this.leases.removeLease(granted.leaseId);
   }
 
   /** Takes over the leases of the previous owner. */
@@ -93,7 +96,7 @@
     const { settings } = this.#context.options;
     const windowMs = settings.leaseWindowMs + settings.leaseMarginMs;
     for (const lease of handover.leases) {
-      this.ledger.addLease({
+      this.leases.addLease({
         leaseId: lease.leaseId,
         leaseRequestId: "",
         holder: lease.holder,
@@ -102,7 +105,7 @@
         returnedCredits: lease.returnedCredits,
         exclusive: lease.exclusive,
         windowEndsAt: now + Math.min(windowMs, lease.remainingMs),
-        safeUntil: now + lease.remainingMs,
+        expiresAt: now + lease.remainingMs,
       });
     }
   }
@@ -114,7 +117,7 @@
     const lagMs = this.#context.options.settings.engineReportLagMs;
     for (const entry of reading.state.residents) {
       if (entry.inFlight > 0) continue;
-      this.ledger.dropIdle(entry.adapterKey, reading.readAt, lagMs);
+      this.leases.dropIdle(entry.adapterKey, reading.readAt, lagMs);
     }
   }
 
--- a/src/core/residency/lease_ledger.ts
+++ b/src/core/residency/lease_ledger.ts
@@ -15,10 +15,10 @@
   /** No run starts under the lease after this time. */
   windowEndsAt: Milliseconds;
   /** No run under the lease goes on after this time. */
-  safeUntil: Milliseconds;
+  expiresAt: Milliseconds;
 }
 
-export class LeaseLedger {
+export class GrantedLeases {
   readonly #leases = new Map<string, GrantedLease>();
   readonly #credits = new Map<string, number>();
   #creditsInUse = 0;
@@ -61,7 +61,7 @@
 
   /** Drops leases under which no run can go on any more. */
   dropExpired(now: Milliseconds): void {
-    this.#dropWhere((lease) => now >= lease.safeUntil);
+    this.#dropWhere((lease) => now >= lease.expiresAt);
   }
 
   /**
@@ -107,13 +107,13 @@
       adapterKey: lease.adapterKey,
       credits: lease.credits,
       returnedCredits: lease.returnedCredits,
-      remainingMs: Math.max(0, lease.safeUntil - now),
+      remainingMs: Math.max(0, lease.expiresAt - now),
     }));
   }
 
-  #dropWhere(isOver: (lease: GrantedLease) => boolean): void {
+  #dropWhere(shouldDrop: (lease: GrantedLease) => boolean): void {
     for (const lease of this.#leases.values()) {
-      if (!isOver(lease)) continue;
+      if (!shouldDrop(lease)) continue;
       this.#leases.delete(lease.leaseId);
       this.#changeCredits(lease.adapterKey, -lease.credits);
     }
--- a/src/core/residency/lease_queue.ts
+++ b/src/core/residency/lease_queue.ts
@@ -18,9 +18,9 @@
   addOrReplace(waiting: WaitingLeaseRequest): void {
     const id = waiting.request.leaseRequestId;
     const earlier = this.#waiting.get(id);
-    const isLate = earlier !== undefined &&
+    const isOutdated = earlier !== undefined &&
       waiting.request.sentAtMs < earlier.request.sentAtMs;
-    if (isLate) return;
+    if (isOutdated) return;
     this.#waiting.set(id, {
       ...waiting,
       arrivedAt: earlier?.arrivedAt ?? waiting.arrivedAt,
@@ -37,7 +37,7 @@
   }
 
   /** Removes and returns the requests whose deadline has passed. */
-  removeOverdue(now: Milliseconds): WaitingLeaseRequest[] {
+  removeExpired(now: Milliseconds): WaitingLeaseRequest[] {
     return this.#removeWhere((waiting) => waiting.deadlineAt <= now);
   }
 
@@ -54,11 +54,11 @@
 
   /** Returns the requests of customers within their share first, by priority, then by deadline. */
   getOrdered(
-    isExceeding: (customer: string) => boolean,
+    isOverShare: (customer: string) => boolean,
   ): WaitingLeaseRequest[] {
     return [...this.#waiting.values()].sort((a, b) =>
-      Number(isExceeding(a.request.customer)) -
-        Number(isExceeding(b.request.customer)) ||
+      Number(isOverShare(a.request.customer)) -
+        Number(isOverShare(b.request.customer)) ||
       a.request.priorityRank - b.request.priorityRank ||
       a.deadlineAt - b.deadlineAt
     );
--- a/src/core/residency/lease_refuser.ts
+++ b/src/core/residency/lease_refuser.ts
@@ -39,7 +39,7 @@
     const isFull = this.#parts.queue.size >= settings.maxQueuedLeaseRequests &&
       !this.#parts.queue.has(request.leaseRequestId);
     if (isFull) return LeaseRefusalReason.QueueFull;
-    if (this.#parts.loader.hasLoadFailedLately(request.adapterKey, now)) {
+    if (this.#parts.loader.hasLoadFailedRecently(request.adapterKey, now)) {
       return LeaseRefusalReason.LoadFailed;
     }
     const waitMs = this.#parts.loader.estimateLoadWaitMs(request, now);
--- a/src/core/residency/order_book.ts
+++ b/src/core/residency/order_book.ts
@@ -10,7 +10,7 @@
  */
 const ORDER_VALIDITY_MS = 200;
 
-export class OrderBook {
+export class PendingOrders {
   readonly #context: OwnerContext;
   readonly #orders = new Map<string, UpstreamOrder>();
 
@@ -39,14 +39,14 @@
   }
 
   /** Removes and returns an order that has ended; undefined when it was not given here. */
-  takeOrder(orderId: string): UpstreamOrder | undefined {
+  removeOrder(orderId: string): UpstreamOrder | undefined {
     const order = this.#orders.get(orderId);
     this.#orders.delete(orderId);
     return order;
   }
 
   /** Removes and returns every order. */
-  takeAll(): UpstreamOrder[] {
+  removeAll(): UpstreamOrder[] {
     const orders = [...this.#orders.values()];
     this.#orders.clear();
     return orders;
--- a/src/core/residency/owner_context.ts
+++ b/src/core/residency/owner_context.ts
@@ -10,7 +10,7 @@
 } from "../structures.ts";
 import { PoolKind } from "../structures.ts";
 import type { AdapterPopularity } from "./adapter_popularity.ts";
-import type { StoreAccess } from "./store_access.ts";
+import type { StorePermitClient } from "./store_access.ts";
 
 export interface UpstreamOwnerOptions {
   selfId: string;
@@ -19,7 +19,7 @@
   settings: CoreSettings;
   policy: CorePolicy;
   popularity: AdapterPopularity;
-  store: StoreAccess;
+  store: StorePermitClient;
   /** Longest run of any route to the pool. */
   maxRunMs: Milliseconds;
   /** Credits given to each customer. */
@@ -28,7 +28,7 @@
   loadShares: FairShares;
   emit: (effect: Effect) => void;
   /** Returns another upstream of the pool that has the adapter or, ranked before this one, is about to load it. */
-  findElsewhere: (adapterKey: string) => string | undefined;
+  findRedirectTarget: (adapterKey: string) => string | undefined;
   /** Returns an identifier that no other daemon or incarnation gives. */
   createId: (prefix: string) => string;
 }
--- a/src/core/residency/owner_description.ts
+++ b/src/core/residency/owner_description.ts
@@ -2,7 +2,7 @@
 import type { OwnerState } from "../../charts/owner_chart.ts";
 import type { UpstreamDigest } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { LeaseLedger } from "./lease_ledger.ts";
+import type { GrantedLeases } from "./lease_ledger.ts";
 import type { LeaseQueue } from "./lease_queue.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { OwnershipClaim } from "./ownership_claim.ts";
@@ -30,23 +30,23 @@
   claim: OwnershipClaim;
   reader: UpstreamReader;
   queue: LeaseQueue;
-  ledger: LeaseLedger;
+  leases: GrantedLeases;
   loader: SlotLoader;
 }
 
 /** Returns what peers are told of the upstream. */
-export function describeDigest(
+export function buildUpstreamDigest(
   parts: DescribedParts,
   now: Milliseconds,
 ): UpstreamDigest {
-  const { context, claim, reader, queue, ledger, loader } = parts;
+  const { context, claim, reader, queue, leases: leases, loader } = parts;
   return {
     upstreamId: context.upstreamId,
     residents: loader.slots.getByState("resident").map((slot) =>
       slot.adapterKey
     ),
-    loading: loader.listComing(),
-    creditsInUse: ledger.getCreditsInUse(),
+    loading: loader.listPendingLoads(),
+    creditsInUse: leases.getCreditsInUse(),
     waiting: queue.size,
     victimValue: loader.getVictimValue(now),
     leaving: reader.isLeaving(),
@@ -59,7 +59,7 @@
   parts: DescribedParts,
   now: Milliseconds,
 ): OwnedUpstreamDescription {
-  const { context, claim, reader, queue, ledger, loader } = parts;
+  const { context, claim, reader, queue, leases: leases, loader } = parts;
   return {
     upstreamId: context.upstreamId,
     state: claim.state,
@@ -70,12 +70,12 @@
       state: slot.state,
     })),
     capacity: loader.slots.getCapacity(),
-    leases: ledger.getLeases().map((lease) => ({
+    leases: leases.getLeases().map((lease) => ({
       holder: lease.holder,
       adapterKey: lease.adapterKey,
       credits: lease.credits,
     })),
-    creditsInUse: ledger.getCreditsInUse(),
+    creditsInUse: leases.getCreditsInUse(),
     batchSize: context.options.pool.batchSize,
     waiting: queue.size,
     evictionAllowedInMs: claim.getEvictionAllowedInMs(now),
--- a/src/core/residency/ownership_claim.ts
+++ b/src/core/residency/ownership_claim.ts
@@ -11,18 +11,18 @@
   type Milliseconds,
   type UpstreamStateStructure,
 } from "../structures.ts";
-import type { OrderBook } from "./order_book.ts";
+import type { PendingOrders } from "./order_book.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { UpstreamReader } from "./upstream_reader.ts";
 
 /** Part of a fencing number that tells apart daemons that claim at once. */
-const FENCING_SPREAD = 65_536;
+const FENCING_EPOCH_SIZE = 65_536;
 /** Time after which a deposed owner reads the upstream again. */
 const DEPOSED_RETRY_MS = 2_000;
 
 export class OwnershipClaim {
   readonly #context: OwnerContext;
-  readonly #orders: OrderBook;
+  readonly #orders: PendingOrders;
   readonly #reader: UpstreamReader;
   #state: OwnerState = ownerChart.initial;
   #stateSince: Milliseconds;
@@ -37,7 +37,7 @@
 
   constructor(
     context: OwnerContext,
-    parts: { orders: OrderBook; reader: UpstreamReader },
+    parts: { orders: PendingOrders; reader: UpstreamReader },
     now: Milliseconds,
   ) {
     this.#context = context;
@@ -72,23 +72,23 @@
   }
 
   /** Returns whether no run that an earlier owner permitted can be going on or start on the adapter. */
-  isFreeOfPredecessors(adapterKey: string, now: Milliseconds): boolean {
-    const isPast = now >= this.#evictionAllowedAt;
-    if (isPast && !this.#isUnguarded()) return true;
-    return this.#isReadAfterPredecessors(now) &&
+  hasNoPredecessorRunOn(adapterKey: string, now: Milliseconds): boolean {
+    const isWaitOver = now >= this.#evictionAllowedAt;
+    if (isWaitOver && !this.#isFencingIgnored()) return true;
+    return this.#isReadAfterPredecessorWindow(now) &&
       this.#reader.getInFlight(adapterKey) === 0;
   }
 
   /** Returns whether no run at all that an earlier owner permitted can be going on or start. */
-  isIdleOfPredecessors(now: Milliseconds): boolean {
-    const isPast = now >= this.#evictionAllowedAt;
-    if (isPast && !this.#isUnguarded()) return true;
-    return this.#isReadAfterPredecessors(now) &&
+  hasNoPredecessorRun(now: Milliseconds): boolean {
+    const isWaitOver = now >= this.#evictionAllowedAt;
+    if (isWaitOver && !this.#isFencingIgnored()) return true;
+    return this.#isReadAfterPredecessorWindow(now) &&
       this.#reader.getReading()?.state.running === 0;
   }
 
   /** Returns how long leases of earlier owners, which the ledger does not list, may still count. */
-  describePredecessors(
+  describePredecessorWait(
     now: Milliseconds,
   ): Pick<HandoverMessage, "predecessorWindowMs" | "predecessorWaitMs"> {
     return {
@@ -100,7 +100,7 @@
   acceptHandover(handover: HandoverMessage, now: Milliseconds): void {
     this.#handover = handover;
     this.#handoverAt = now;
-    this.#trustHandoverIfDirect();
+    this.#applyDirectHandover();
   }
 
   /** Reads the upstream again some time after another daemon took it. */
@@ -116,10 +116,11 @@
     this.#enter("claiming", now);
     const reported = this.#reader.getReading()?.state.fencing ?? 0;
     const highest = Math.max(this.#fencing, reported);
-    const epoch = Math.floor(highest / FENCING_SPREAD) + 1;
+    const epoch = Math.floor(highest / FENCING_EPOCH_SIZE) + 1;
     this.#fencingBeforeClaim = reported;
-    const spread = hashText(this.#context.options.selfId) % FENCING_SPREAD;
-    this.#fencing = epoch * FENCING_SPREAD + spread;
+    const daemonOffset = hashText(this.#context.options.selfId) %
+      FENCING_EPOCH_SIZE;
+    this.#fencing = epoch * FENCING_EPOCH_SIZE + daemonOffset;
     if (this.#context.isService()) {
       this.recordClaimEnd({ kind: "done" }, now);
       return;
@@ -135,23 +136,23 @@
     }
     this.#enter("owning", now);
     if (Number.isFinite(this.#evictionAllowedAt)) return;
-    this.#awaitOtherOwners(now);
-    this.#trustHandoverIfDirect();
+    this.#startPredecessorWait(now);
+    this.#applyDirectHandover();
   }
 
   /** A change that nobody here ordered shows another owner, where fencing can't. */
-  recordForeignChange(now: Milliseconds): void {
-    if (!this.isOwning() || !this.#isUnguarded()) return;
+  recordExternalChange(now: Milliseconds): void {
+    if (!this.isOwning() || !this.#isFencingIgnored()) return;
     this.#context.options.emit({
       kind: "count",
       counter: "foreign_order",
       tag: this.#context.upstreamId,
     });
-    this.#awaitOtherOwners(now);
+    this.#startPredecessorWait(now);
   }
 
   /** Waits until no run that another owner has permitted until now can go on. */
-  #awaitOtherOwners(now: Milliseconds): void {
+  #startPredecessorWait(now: Milliseconds): void {
     const { settings, maxRunMs } = this.#context.options;
     this.#predecessorWindowEndsAt = now + settings.ownershipValidityMs +
       settings.leaseWindowMs + settings.leaseMarginMs;
@@ -159,7 +160,7 @@
   }
 
   /** Returns whether the engine takes orders from a former owner as well. */
-  #isUnguarded(): boolean {
+  #isFencingIgnored(): boolean {
     return this.#context.options.pool.fencing === Fencing.Ignored;
   }
 
@@ -167,8 +168,8 @@
    * Counts the leases of a daemon that takes itself for the owner too as those
    * of an earlier owner. Where fencing is checked, the upstream deposes one.
    */
-  recordRival(now: Milliseconds): void {
-    if (!this.isOwning() || !this.#isUnguarded()) return;
+  recordOtherOwner(now: Milliseconds): void {
+    if (!this.isOwning() || !this.#isFencingIgnored()) return;
     const { settings, maxRunMs } = this.#context.options;
     const windowEndsAt = now + settings.ownershipValidityMs +
       settings.leaseWindowMs + settings.leaseMarginMs;
@@ -204,13 +205,13 @@
   }
 
   /** Returns whether the last reading counts every run that earlier owners permitted. */
-  #isReadAfterPredecessors(now: Milliseconds): boolean {
+  #isReadAfterPredecessorWindow(now: Milliseconds): boolean {
     const { settings } = this.#context.options;
-    const countedSince = now >= this.#evictionAllowedAt
+    const minReadAt = now >= this.#evictionAllowedAt
       ? now - settings.ownershipValidityMs
       : this.#predecessorWindowEndsAt + settings.engineReportLagMs;
     const reading = this.#reader.getReading();
-    return reading !== undefined && reading.readAt >= countedSince;
+    return reading !== undefined && reading.readAt >= minReadAt;
   }
 
   /**
@@ -218,11 +219,12 @@
    * over still had to wait, when the upstream shows that it was the last one to
    * claim it; its own leases are in the ledger.
    */
-  #trustHandoverIfDirect(): void {
+  #applyDirectHandover(): void {
     if (!this.isOwning() || !this.#handover) return;
-    const isDirect = this.#context.options.pool.fencing === Fencing.Checked &&
+    const isFromLastOwner =
+      this.#context.options.pool.fencing === Fencing.Checked &&
       this.#handover.fencing === this.#fencingBeforeClaim;
-    if (!isDirect) return;
+    if (!isFromLastOwner) return;
     const { predecessorWindowMs, predecessorWaitMs } = this.#handover;
     this.#evictionAllowedAt = Math.min(
       this.#evictionAllowedAt,
--- a/src/core/residency/slot_loader.ts
+++ b/src/core/residency/slot_loader.ts
@@ -1,19 +1,19 @@
 /** Loads and evictions on one upstream: which adapter takes which slot, and when. */
 import type { OrderResult } from "../events.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { LeaseLedger } from "./lease_ledger.ts";
+import type { GrantedLeases } from "./lease_ledger.ts";
 import type { LeaseQueue } from "./lease_queue.ts";
 import type { LeaseRequestMessage } from "../messages.ts";
 import type { StoreDemand, StorePermit } from "./store_access.ts";
-import type { OrderBook } from "./order_book.ts";
+import type { PendingOrders } from "./order_book.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { OwnershipClaim } from "./ownership_claim.ts";
 import { type Slot, SlotTable } from "./slot_table.ts";
 
 export interface SlotLoaderParts {
   queue: LeaseQueue;
-  ledger: LeaseLedger;
-  orders: OrderBook;
+  leases: GrantedLeases;
+  orders: PendingOrders;
   claim: OwnershipClaim;
 }
 
@@ -21,14 +21,14 @@
 const LOAD_RETRY_DELAY_MS = 500;
 
 /** Worth of a victim where none can be evicted now. */
-const MAX_VICTIM_VALUE = 1_000;
+const NO_VICTIM_VALUE = 1_000;
 /** Slack below which a load comes too late, in load times. */
-const LOAD_MARGIN = 2;
+const MIN_SLACK_LOAD_TIMES = 2;
 /** Slack at which the urgency of a load is half of the highest. */
 const HALF_URGENCY_SLACK_MS = 2_000;
 
 /** Urgency left to customers above their share while others wait. */
-const EXCEEDING_FACTOR = 0.01;
+const OVER_SHARE_URGENCY_FACTOR = 0.01;
 
 interface WantedLoad {
   adapterKey: string;
@@ -44,7 +44,7 @@
   /** Permits of the loads that are under way, by adapter. */
   readonly #permits = new Map<string, StorePermit>();
   /** Loads that wait for an eviction, by the adapter that is evicted. */
-  readonly #planned = new Map<
+  readonly #nextLoads = new Map<
     string,
     { adapterKey: string; permit: StorePermit }
   >();
@@ -59,21 +59,21 @@
   /** Returns the loads that requests wait for and that have room, or could get it. */
   computeDemand(now: Milliseconds): StoreDemand {
     const wanted = this.#listWanted(now);
-    const [first] = wanted;
-    if (!first) return { loads: 0, urgency: 0 };
-    const room = this.slots.countFreeSlots() - this.#planned.size +
+    const [mostUrgent] = wanted;
+    if (!mostUrgent) return { loads: 0, urgency: 0 };
+    const startableLoads = this.slots.countFreeSlots() - this.#nextLoads.size +
       this.#countEvictable(now);
-    const loads = Math.max(0, Math.min(wanted.length, room));
-    return { loads, urgency: loads === 0 ? 0 : first.urgency };
+    const loads = Math.max(0, Math.min(wanted.length, startableLoads));
+    return { loads, urgency: loads === 0 ? 0 : mostUrgent.urgency };
   }
 
   /** Orders the most urgent load, or the eviction that makes room for it. */
   tryStartLoad(permit: StorePermit, now: Milliseconds): boolean {
-    const [first] = this.#listWanted(now);
-    if (!first) return false;
-    const { adapterKey, customer } = first;
+    const [mostUrgent] = this.#listWanted(now);
+    if (!mostUrgent) return false;
+    const { adapterKey, customer } = mostUrgent;
     const { loadShares } = this.#context.options;
-    const isFree = this.slots.countFreeSlots() > this.#planned.size;
+    const isFree = this.slots.countFreeSlots() > this.#nextLoads.size;
     if (isFree) {
       loadShares.recordUse(customer, 1, now);
       this.#permits.set(adapterKey, permit);
@@ -85,8 +85,8 @@
     if (victim === undefined) return false;
     this.#context.options.popularity.recordEviction(victim);
     loadShares.recordUse(customer, 1, now);
-    this.#planned.set(victim, { adapterKey, permit });
-    this.slots.apply(victim, "evictOrdered", now);
+    this.#nextLoads.set(victim, { adapterKey, permit });
+    this.slots.applyTrigger(victim, "evictOrdered", now);
     this.#giveOrder({ kind: "evict", adapterKey: victim }, now);
     return true;
   }
@@ -98,9 +98,9 @@
     now: Milliseconds,
   ): void {
     this.applyOrderResult(adapterKey, result, now);
-    const planned = this.#planned.get(adapterKey);
+    const planned = this.#nextLoads.get(adapterKey);
     if (!planned) return;
-    this.#planned.delete(adapterKey);
+    this.#nextLoads.delete(adapterKey);
     const canLoad = result.kind === "done" && this.slots.hasFreeSlot() &&
       this.slots.getSlot(planned.adapterKey) === undefined;
     if (!canLoad) {
@@ -115,13 +115,13 @@
   /** Gives back every permit, when the upstream is given up. */
   returnPermits(): void {
     const { store } = this.#context.options;
-    for (const { permit } of this.#planned.values()) {
+    for (const { permit } of this.#nextLoads.values()) {
       store.returnPermit(permit, false);
     }
     for (const permit of this.#permits.values()) {
       store.returnPermit(permit, true);
     }
-    this.#planned.clear();
+    this.#nextLoads.clear();
     this.#permits.clear();
   }
 
@@ -152,14 +152,14 @@
   ): void {
     switch (result.kind) {
       case "done":
-        this.slots.apply(adapterKey, "orderDone", now);
+        this.slots.applyTrigger(adapterKey, "orderDone", now);
         break;
       case "failed":
       case "refusedByFencing":
-        this.slots.apply(adapterKey, "orderFailed", now);
+        this.slots.applyTrigger(adapterKey, "orderFailed", now);
         break;
       case "unknown":
-        this.slots.apply(adapterKey, "orderUnknown", now);
+        this.slots.applyTrigger(adapterKey, "orderUnknown", now);
         break;
     }
   }
@@ -169,11 +169,11 @@
     for (const slot of this.slots.getByState("resident")) {
       this.#context.options.popularity.recordEviction(slot.adapterKey);
     }
-    this.slots.applyToAll("upstreamRestarted", now);
+    this.slots.applyTriggerToAll("upstreamRestarted", now);
     this.#loadFailedAt.clear();
   }
 
-  hasLoadFailedLately(adapterKey: string, now: Milliseconds): boolean {
+  hasLoadFailedRecently(adapterKey: string, now: Milliseconds): boolean {
     const failedAt = this.#loadFailedAt.get(adapterKey);
     if (failedAt === undefined) return false;
     if (now - failedAt < LOAD_RETRY_DELAY_MS) return true;
@@ -189,23 +189,27 @@
     const { adapterKey, customer } = request;
     if (this.#context.isService() || this.slots.getSlot(adapterKey)) return 0;
     const { loadShares, store } = this.#context.options;
-    const yields = loadShares.isExceeding(customer, now);
-    const ahead = this.#listWanted(now).filter((load) =>
+    const isOverShare = loadShares.isExceeding(customer, now);
+    const loadsAhead = this.#listWanted(now).filter((load) =>
       load.adapterKey !== adapterKey &&
-      (yields || !loadShares.isExceeding(load.customer, now))
+      (isOverShare || !loadShares.isExceeding(load.customer, now))
+    );
+    return store.estimateWaitMs(
+      loadsAhead.length,
+      { isOverShare: isOverShare },
+      now,
     );
-    return store.estimateWaitMs(ahead.length, { yields }, now);
   }
 
   /** Returns the adapters that are loading or wait for their load. */
-  listComing(): string[] {
-    const coming = new Set(
+  listPendingLoads(): string[] {
+    const pending = new Set(
       this.slots.getByState("loading").map((slot) => slot.adapterKey),
     );
     for (const adapterKey of this.#parts.queue.getAdapterKeys()) {
-      if (!this.slots.isResident(adapterKey)) coming.add(adapterKey);
+      if (!this.slots.isResident(adapterKey)) pending.add(adapterKey);
     }
-    return [...coming];
+    return [...pending];
   }
 
   /**
@@ -213,17 +217,17 @@
    * the loads that are waited for have taken what is worth less; 0 with a free slot.
    */
   getVictimValue(now: Milliseconds): number {
-    const ahead = this.#listWanted(now).length + this.#planned.size -
+    const loadsAhead = this.#listWanted(now).length + this.#nextLoads.size -
       this.slots.countFreeSlots();
-    if (ahead < 0) return 0;
-    const worths = this.slots.getByState("resident")
+    if (loadsAhead < 0) return 0;
+    const retentionValues = this.slots.getByState("resident")
       .filter((slot) => this.#isEvictable(slot.adapterKey, now))
-      .map((slot) => this.#computeWorth(slot, now))
+      .map((slot) => this.#computeRetentionValue(slot, now))
       .sort((a, b) => a - b);
-    return worths[ahead] ?? MAX_VICTIM_VALUE;
+    return retentionValues[loadsAhead] ?? NO_VICTIM_VALUE;
   }
 
-  #computeWorth(slot: Slot, now: Milliseconds): number {
+  #computeRetentionValue(slot: Slot, now: Milliseconds): number {
     const { policy, popularity } = this.#context.options;
     return policy.computeWorth(slot, popularity, now);
   }
@@ -231,19 +235,21 @@
   /** Returns the adapters that requests wait for and that have no slot, most urgent first. */
   #listWanted(now: Milliseconds): WantedLoad[] {
     const planned = new Set<string>();
-    for (const plan of this.#planned.values()) planned.add(plan.adapterKey);
+    for (const plan of this.#nextLoads.values()) planned.add(plan.adapterKey);
     const wanted = new Map<string, WantedLoad>();
     const { loadShares, settings } = this.#context.options;
     for (const { request, deadlineAt } of this.#parts.queue.list()) {
       const { adapterKey } = request;
       if (this.slots.getSlot(adapterKey) || planned.has(adapterKey)) continue;
       const isTooLate = deadlineAt - now <
-        settings.loadTimeMs * LOAD_MARGIN;
+        settings.loadTimeMs * MIN_SLACK_LOAD_TIMES;
       if (isTooLate) continue;
       const load = wanted.get(adapterKey) ??
         { adapterKey, customer: request.customer, urgency: 0 };
       load.urgency += computeUrgency(request, deadlineAt - now) *
-        (loadShares.isExceeding(request.customer, now) ? EXCEEDING_FACTOR : 1);
+        (loadShares.isExceeding(request.customer, now)
+          ? OVER_SHARE_URGENCY_FACTOR
+          : 1);
       wanted.set(adapterKey, load);
     }
     return [...wanted.values()].sort((a, b) => b.urgency - a.urgency);
@@ -260,22 +266,22 @@
   #findVictim(now: Milliseconds): string | undefined {
     const wanted = this.#parts.queue.getAdapterKeys();
     let victim: string | undefined;
-    let victimScore = Number.POSITIVE_INFINITY;
+    let victimValue = Number.POSITIVE_INFINITY;
     for (const slot of this.slots.getByState("resident")) {
       if (wanted.has(slot.adapterKey)) continue;
       if (!this.#isEvictable(slot.adapterKey, now)) continue;
-      const score = this.#computeWorth(slot, now);
-      if (score >= victimScore) continue;
+      const value = this.#computeRetentionValue(slot, now);
+      if (value >= victimValue) continue;
       victim = slot.adapterKey;
-      victimScore = score;
+      victimValue = value;
     }
     return victim;
   }
 
   /** Returns whether no run on the adapter can be going on or start. */
   #isEvictable(adapterKey: string, now: Milliseconds): boolean {
-    return !this.#parts.ledger.hasLeases(adapterKey) &&
-      this.#parts.claim.isFreeOfPredecessors(adapterKey, now);
+    return !this.#parts.leases.hasLeases(adapterKey) &&
+      this.#parts.claim.hasNoPredecessorRunOn(adapterKey, now);
   }
 
   #giveOrder(
--- a/src/core/residency/slot_table.ts
+++ b/src/core/residency/slot_table.ts
@@ -58,7 +58,11 @@
   }
 
   /** Moves the slot along its chart; a trigger that its state does not take changes nothing. */
-  apply(adapterKey: string, trigger: SlotTrigger, now: Milliseconds): void {
+  applyTrigger(
+    adapterKey: string,
+    trigger: SlotTrigger,
+    now: Milliseconds,
+  ): void {
     const slot = this.#slots.get(adapterKey);
     if (!slot) return;
     const next = slotChart.getNext(slot.state, trigger);
@@ -70,9 +74,9 @@
     this.#freedAt.set(adapterKey, now);
   }
 
-  applyToAll(trigger: SlotTrigger, now: Milliseconds): void {
+  applyTriggerToAll(trigger: SlotTrigger, now: Milliseconds): void {
     for (const adapterKey of [...this.#slots.keys()]) {
-      this.apply(adapterKey, trigger, now);
+      this.applyTrigger(adapterKey, trigger, now);
     }
   }
 
@@ -85,20 +89,22 @@
     readAt: Milliseconds,
     now: Milliseconds,
   ): boolean {
-    let hasForeignChange = false;
-    const seen = new Set(state.residents.map((entry) => entry.adapterKey));
+    let hasExternalChange = false;
+    const reportedKeys = new Set(
+      state.residents.map((entry) => entry.adapterKey),
+    );
     for (const slot of [...this.#slots.values()]) {
       if (slot.changedAt >= readAt) continue;
-      const isSeen = seen.has(slot.adapterKey);
-      if (slot.state === "resident" && !isSeen) hasForeignChange = true;
-      const trigger = isSeen ? "seenResident" : "seenAbsent";
-      this.apply(slot.adapterKey, trigger, now);
+      const isReported = reportedKeys.has(slot.adapterKey);
+      if (slot.state === "resident" && !isReported) hasExternalChange = true;
+      const trigger = isReported ? "seenResident" : "seenAbsent";
+      this.applyTrigger(slot.adapterKey, trigger, now);
     }
-    for (const adapterKey of seen) {
+    for (const adapterKey of reportedKeys) {
       if (this.#slots.has(adapterKey)) continue;
       const freedAt = this.#freedAt.get(adapterKey);
       if (freedAt !== undefined && freedAt >= readAt) continue;
-      hasForeignChange = true;
+      hasExternalChange = true;
       this.#slots.set(adapterKey, {
         adapterKey,
         state: "resident",
@@ -108,7 +114,7 @@
       });
     }
     this.#dropFreedBefore(readAt);
-    return hasForeignChange;
+    return hasExternalChange;
   }
 
   getByState(state: SlotState): Slot[] {
--- a/src/core/residency/store_access.ts
+++ b/src/core/residency/store_access.ts
@@ -15,9 +15,9 @@
   StoreStatusMessage,
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { StoreKeeper, type StoreShare } from "./store_keeper.ts";
+import { StoreCoordinator, type StoreShare } from "./store_keeper.ts";
 
-export interface StoreAccessOptions {
+export interface StorePermitClientOptions {
   selfId: string;
   incarnation: string;
   failureDomain: string;
@@ -47,18 +47,18 @@
 /** Age beyond which the keeper's report is not used. */
 const STATUS_LIFETIME_MS = 1_000;
 /** Change of urgency that is worth a message, as a factor. */
-const URGENCY_STEP = 1.5;
+const MIN_URGENCY_RATIO = 1.5;
 
-export class StoreAccess {
-  readonly #options: StoreAccessOptions;
-  #keeper: StoreKeeper | undefined;
-  #previousKeeperId: string | undefined;
+export class StorePermitClient {
+  readonly #options: StorePermitClientOptions;
+  #coordinator: StoreCoordinator | undefined;
+  #previousCoordinatorId: string | undefined;
   #sent: StoreDemand & { to: string; at: Milliseconds } | undefined;
   #status: StoreStatusMessage | undefined;
   #statusAt = Number.NEGATIVE_INFINITY;
   readonly #ids: IdSource;
 
-  constructor(options: StoreAccessOptions) {
+  constructor(options: StorePermitClientOptions) {
     this.#options = options;
     this.#ids = new IdSource(options);
   }
@@ -66,14 +66,14 @@
   /** Becomes or ceases to be the keeper as membership changes. */
   tick(now: Milliseconds): void {
     const { membership, selfId, failureDomain, emit } = this.#options;
-    const keeperId = membership.getStoreKeeperId(failureDomain);
-    if (keeperId !== selfId) {
-      this.#keeper = undefined;
-      this.#previousKeeperId = keeperId;
+    const coordinatorId = membership.getStoreKeeperId(failureDomain);
+    if (coordinatorId !== selfId) {
+      this.#coordinator = undefined;
+      this.#previousCoordinatorId = coordinatorId;
       return;
     }
     const share = this.#computeShare();
-    this.#keeper ??= new StoreKeeper(
+    this.#coordinator ??= new StoreCoordinator(
       {
         selfId,
         failureDomain,
@@ -85,15 +85,15 @@
       share,
       now,
     );
-    this.#keeper.setShare(share);
-    this.#keeper.tick(membership.listOtherStoreKeeperIds(), now);
+    this.#coordinator.setShare(share);
+    this.#coordinator.tick(membership.listOtherStoreKeeperIds(), now);
   }
 
   /** Tells the keeper what this daemon wants to load, when that has changed. */
   updateDemand(demand: StoreDemand, now: Milliseconds): void {
     const { membership, failureDomain, emit } = this.#options;
     const to = membership.getStoreKeeperId(failureDomain);
-    if (to === undefined || !this.#isWorthSending(demand, to, now)) return;
+    if (to === undefined || !this.#needsSending(demand, to, now)) return;
     this.#sent = { ...demand, to, at: now };
     emit({
       kind: "send",
@@ -107,7 +107,7 @@
     message: StoreDemandMessage,
     now: Milliseconds,
   ): void {
-    this.#keeper?.recordDemand(from, message, now);
+    this.#coordinator?.recordDemand(from, message, now);
   }
 
   /** Takes a permit; returns undefined when it was borrowed for others of this domain. */
@@ -118,9 +118,9 @@
   ): StorePermit | undefined {
     const { selfId } = this.#options;
     const isLoan = message.lenderId === from && from !== selfId &&
-      this.#keeper !== undefined;
+      this.#coordinator !== undefined;
     if (isLoan) {
-      this.#keeper?.acceptLoan(message, now);
+      this.#coordinator?.acceptLoan(message, now);
       return undefined;
     }
     if (this.#sent) this.#sent.loads -= 1;
@@ -141,7 +141,7 @@
   }
 
   recordReturn(message: StorePermitReturnMessage, now: Milliseconds): void {
-    this.#keeper?.recordReturn(message, now);
+    this.#coordinator?.recordReturn(message, now);
   }
 
   recordStatus(message: StoreStatusMessage, now: Milliseconds): void {
@@ -152,26 +152,26 @@
   /** Returns the time after which a load queued behind others here would be done. */
   estimateWaitMs(
     queuedLoads: number,
-    options: { yields: boolean },
+    options: { isOverShare: boolean },
     now: Milliseconds,
   ): Milliseconds {
     const status = now - this.#statusAt <= STATUS_LIFETIME_MS
       ? this.#status
       : undefined;
     // A load that yields to nobody goes before those that other daemons queue.
-    const ahead = options.yields
+    const loadsAhead = options.isOverShare
       ? Math.max(queuedLoads, status?.waitingLoads ?? 0)
       : queuedLoads;
     const rate = status?.loadsPerSecond ?? this.#computeShare().loadsPerSecond;
-    return ahead / rate * 1_000 + this.#options.settings.loadTimeMs;
+    return loadsAhead / rate * 1_000 + this.#options.settings.loadTimeMs;
   }
 
   /** Returns the permits that this daemon has given as a keeper. */
   getInFlight(): number {
-    return this.#keeper?.getInFlight() ?? 0;
+    return this.#coordinator?.getInFlight() ?? 0;
   }
 
-  #isWorthSending(
+  #needsSending(
     demand: StoreDemand,
     to: string,
     now: Milliseconds,
@@ -180,7 +180,7 @@
     if (demand.loads === 0) return (sent?.loads ?? 0) > 0;
     if (!sent || sent.to !== to || sent.loads !== demand.loads) return true;
     return now - sent.at >= DEMAND_INTERVAL_MS ||
-      demand.urgency > sent.urgency * URGENCY_STEP;
+      demand.urgency > sent.urgency * MIN_URGENCY_RATIO;
   }
 
   /** Splits the store over the failure domains that have entry hosts. */
@@ -204,9 +204,9 @@
   /** A previous keeper that is heard no more gave its last permit before its silence began. */
   #getStartWaitMs(): Milliseconds {
     const { membership, settings } = this.#options;
-    const isPreviousHeard = this.#previousKeeperId !== undefined &&
-      membership.isPeerLive(this.#previousKeeperId);
-    const silentMs = isPreviousHeard
+    const isPreviousLive = this.#previousCoordinatorId !== undefined &&
+      membership.isPeerLive(this.#previousCoordinatorId);
+    const silentMs = isPreviousLive
       ? 0
       : settings.peerTimeoutMs * DEATH_AFTER_RATIO;
     return Math.max(0, this.#getPermitLifetimeMs() - silentMs);
--- a/src/core/residency/store_keeper.ts
+++ b/src/core/residency/store_keeper.ts
@@ -19,7 +19,7 @@
   loadsInFlight: number;
 }
 
-export interface StoreKeeperOptions {
+export interface StoreCoordinatorOptions {
   selfId: string;
   failureDomain: string;
   /** Time after which a permit counts as over though it was not returned. */
@@ -33,7 +33,7 @@
 interface Demand {
   loads: number;
   urgency: number;
-  heardAt: Milliseconds;
+  receivedAt: Milliseconds;
 }
 
 /** Starts that may be saved up, as a span of the rate. */
@@ -45,8 +45,8 @@
 /** Span over which the rate of permits is measured. */
 const RATE_SPAN_MS = 3_000;
 
-export class StoreKeeper {
-  readonly #options: StoreKeeperOptions;
+export class StoreCoordinator {
+  readonly #options: StoreCoordinatorOptions;
   readonly #startedAt: Milliseconds;
   readonly #demands = new Map<string, Demand>();
   /** Demands of other failure domains, by the keeper that sends them. */
@@ -56,11 +56,11 @@
   #share: StoreShare;
   #tokens = 0;
   #refilledAt: Milliseconds;
-  #askedLoads = 0;
-  #askedAt = Number.NEGATIVE_INFINITY;
+  #requestedLoads = 0;
+  #requestedAt = Number.NEGATIVE_INFINITY;
 
   constructor(
-    options: StoreKeeperOptions,
+    options: StoreCoordinatorOptions,
     share: StoreShare,
     now: Milliseconds,
   ) {
@@ -84,8 +84,8 @@
     const isOwn = failureDomain === this.#options.failureDomain;
     const demands = isOwn ? this.#demands : this.#loanDemands;
     if (loads === 0) demands.delete(from);
-    else demands.set(from, { loads, urgency, heardAt: now });
-    this.#pump(now);
+    else demands.set(from, { loads, urgency, receivedAt: now });
+    this.#issuePermits(now);
     if (isOwn) this.#sendStatus(from, now);
   }
 
@@ -100,7 +100,7 @@
       });
       return;
     }
-    this.#takeDemand(this.#demands, to);
+    this.#countIssued(this.#demands, to);
     this.#grantedAt.push(now);
     this.#send(to, permit);
   }
@@ -109,20 +109,20 @@
   recordReturn(message: StorePermitReturnMessage, now: Milliseconds): void {
     if (!this.#permits.delete(message.permitId)) return;
     if (!message.wasUsed) this.#tokens += 1;
-    this.#pump(now);
+    this.#issuePermits(now);
   }
 
   /** Lets time pass; asks the lenders for what this domain cannot give. */
   tick(lenders: readonly string[], now: Milliseconds): void {
-    dropUnheard(this.#demands, now);
-    dropUnheard(this.#loanDemands, now);
+    dropExpired(this.#demands, now);
+    dropExpired(this.#loanDemands, now);
     for (const [permitId, expiresAt] of this.#permits) {
       if (now >= expiresAt) this.#permits.delete(permitId);
     }
     while (now - (this.#grantedAt[0] ?? now) > RATE_SPAN_MS) {
       this.#grantedAt.shift();
     }
-    this.#pump(now);
+    this.#issuePermits(now);
     this.#borrow(lenders, now);
   }
 
@@ -130,27 +130,27 @@
     return this.#permits.size;
   }
 
-  #pump(now: Milliseconds): void {
+  #issuePermits(now: Milliseconds): void {
     this.#refill(now);
-    while (this.#canGive(now)) {
+    while (this.#canIssue(now)) {
       const own = findMostUrgent(this.#demands);
       const to = own ?? findMostUrgent(this.#loanDemands);
       if (to === undefined) return;
-      this.#takeDemand(
+      this.#countIssued(
         own === undefined ? this.#loanDemands : this.#demands,
         to,
       );
-      this.#give(to, now);
+      this.#issuePermit(to, now);
     }
   }
 
   /** Nothing is given while loads that the previous keeper permitted may go on. */
-  #canGive(now: Milliseconds): boolean {
+  #canIssue(now: Milliseconds): boolean {
     return now - this.#startedAt >= this.#options.startWaitMs &&
       this.#tokens >= 1 && this.#permits.size < this.#share.loadsInFlight;
   }
 
-  #give(to: string, now: Milliseconds): void {
+  #issuePermit(to: string, now: Milliseconds): void {
     const permitId = this.#options.createId("permit");
     this.#tokens -= 1;
     this.#permits.set(permitId, now + this.#options.permitLifetimeMs);
@@ -162,7 +162,7 @@
     });
   }
 
-  #takeDemand(demands: Map<string, Demand>, from: string): void {
+  #countIssued(demands: Map<string, Demand>, from: string): void {
     const demand = demands.get(from);
     if (!demand) return;
     demand.loads -= 1;
@@ -171,11 +171,11 @@
 
   #borrow(lenders: readonly string[], now: Milliseconds): void {
     const loads = sumLoads(this.#demands);
-    if (loads === 0 && this.#askedLoads === 0) return;
-    const isRepeat = loads <= this.#askedLoads && loads > 0;
-    if (isRepeat && now - this.#askedAt < BORROW_INTERVAL_MS) return;
-    this.#askedLoads = loads;
-    this.#askedAt = now;
+    if (loads === 0 && this.#requestedLoads === 0) return;
+    const isRepeat = loads <= this.#requestedLoads && loads > 0;
+    if (isRepeat && now - this.#requestedAt < BORROW_INTERVAL_MS) return;
+    this.#requestedLoads = loads;
+    this.#requestedAt = now;
     const mostUrgent = findMostUrgent(this.#demands);
     for (const lender of lenders) {
       this.#send(lender, {
@@ -234,8 +234,8 @@
   return loads;
 }
 
-function dropUnheard(demands: Map<string, Demand>, now: Milliseconds): void {
+function dropExpired(demands: Map<string, Demand>, now: Milliseconds): void {
   for (const [from, demand] of demands) {
-    if (now - demand.heardAt > DEMAND_LIFETIME_MS) demands.delete(from);
+    if (now - demand.receivedAt > DEMAND_LIFETIME_MS) demands.delete(from);
   }
 }
--- a/src/core/residency/upstream_owner.ts
+++ b/src/core/residency/upstream_owner.ts
@@ -19,7 +19,7 @@
 import { LeaseGranter } from "./lease_granter.ts";
 import { LeaseQueue, type WaitingLeaseRequest } from "./lease_queue.ts";
 import { LeaseRefuser } from "./lease_refuser.ts";
-import { OrderBook } from "./order_book.ts";
+import { PendingOrders } from "./order_book.ts";
 import {
   OwnerContext,
   type UpstreamConfiguration,
@@ -27,7 +27,7 @@
 } from "./owner_context.ts";
 import { OwnershipClaim } from "./ownership_claim.ts";
 import {
-  describeDigest,
+  buildUpstreamDigest,
   type DescribedParts,
   describeOwner,
   type OwnedUpstreamDescription,
@@ -38,7 +38,7 @@
 
 export class UpstreamOwner {
   readonly #context: OwnerContext;
-  readonly #orders: OrderBook;
+  readonly #orders: PendingOrders;
   readonly #reader: UpstreamReader;
   readonly #claim: OwnershipClaim;
   readonly #queue = new LeaseQueue();
@@ -48,7 +48,7 @@
 
   constructor(options: UpstreamOwnerOptions, now: Milliseconds) {
     const context = new OwnerContext(options);
-    const orders = new OrderBook(context);
+    const orders = new PendingOrders(context);
     const reader = new UpstreamReader(context);
     const queue = this.#queue;
     this.#context = context;
@@ -58,7 +58,7 @@
     this.#granter = new LeaseGranter(context, { queue, reader });
     this.#loader = new SlotLoader(context, {
       queue,
-      ledger: this.#granter.ledger,
+      leases: this.#granter.leases,
       orders,
       claim: this.#claim,
     });
@@ -99,11 +99,11 @@
     const canGrant = this.#canGrant(now);
     if (this.#granter.tryRenewGrant(holder, request, { canGrant, now })) return;
     this.#recordDemand(request, now);
-    const elsewhere = this.isOwning()
-      ? this.#findElsewhere(request)
+    const redirectTarget = this.isOwning()
+      ? this.#findRedirectTarget(request)
       : undefined;
-    if (elsewhere !== undefined) {
-      this.#forwardRequest(holder, request, elsewhere, now);
+    if (redirectTarget !== undefined) {
+      this.#redirectRequest(holder, request, redirectTarget, now);
       return;
     }
     const refusal = this.#refuser.findRefusal(request, now);
@@ -125,7 +125,7 @@
       deadlineAt: now + request.remainingMs,
       hasWaitedForLoad: false,
     });
-    this.#pump(now);
+    this.#serveQueue(now);
   }
 
   /** Returns what this upstream wants of the weight store. */
@@ -138,14 +138,14 @@
   /** Starts the most urgent load under the permit; returns false when none can start. */
   tryStartLoad(permit: StorePermit, now: Milliseconds): boolean {
     if (!this.#canGrant(now)) return false;
-    this.#forwardWaiting(now);
+    this.#redirectWaiting(now);
     return this.#loader.tryStartLoad(permit, now);
   }
 
   cancelLeaseRequest(leaseRequestId: string, now: Milliseconds): void {
     this.#queue.remove(leaseRequestId);
     this.#granter.cancelGrant(leaseRequestId);
-    this.#pump(now);
+    this.#serveQueue(now);
   }
 
   returnLease(
@@ -153,8 +153,8 @@
     returnedCredits: number,
     now: Milliseconds,
   ): void {
-    this.#granter.ledger.returnCredits(leaseId, returnedCredits);
-    this.#pump(now);
+    this.#granter.leases.returnCredits(leaseId, returnedCredits);
+    this.#serveQueue(now);
   }
 
   /** Puts what the tables and the host list now say of the upstream in force. */
@@ -164,15 +164,15 @@
   }
 
   /** Notes that another daemon takes itself for the owner too. */
-  recordRival(now: Milliseconds): void {
-    this.#claim.recordRival(now);
+  recordOtherOwner(now: Milliseconds): void {
+    this.#claim.recordOtherOwner(now);
   }
 
   /** Takes over the leases of the previous owner, which grants nothing any more. */
   acceptHandover(handover: HandoverMessage, now: Milliseconds): void {
     this.#granter.acceptHandover(handover, now);
     this.#claim.acceptHandover(handover, now);
-    this.#pump(now);
+    this.#serveQueue(now);
   }
 
   describeHandover(now: Milliseconds): HandoverMessage {
@@ -181,15 +181,15 @@
       upstreamId: this.upstreamId,
       upstreamIncarnation: this.#reader.getIncarnation(),
       fencing: this.#claim.fencing,
-      leases: this.#granter.ledger.describeForHandover(now),
-      ...this.#claim.describePredecessors(now),
+      leases: this.#granter.leases.describeForHandover(now),
+      ...this.#claim.describePredecessorWait(now),
     };
   }
 
   /** Refuses all that waits, before ownership is given up. */
   release(reason: LeaseRefusalReason, now: Milliseconds): void {
     this.#refuseAll(reason, now);
-    this.#orders.takeAll();
+    this.#orders.removeAll();
     this.#loader.returnPermits();
   }
 
@@ -205,24 +205,24 @@
       this.#depose(now);
       return;
     }
-    const hasForeignChange = this.#loader.slots.reconcile(
+    const hasExternalChange = this.#loader.slots.reconcile(
       state,
       recorded.reading.readAt,
       now,
     );
-    if (hasForeignChange) this.#claim.recordForeignChange(now);
-    if (this.#hasForeignRuns(state, now)) this.#claim.recordRival(now);
+    if (hasExternalChange) this.#claim.recordExternalChange(now);
+    if (this.#hasUnleasedRuns(state, now)) this.#claim.recordOtherOwner(now);
     this.#granter.dropIdleLeases();
     this.#claim.claimIfRead(now);
-    this.#pump(now);
+    this.#serveQueue(now);
   }
 
-  recordStateUnread(
+  recordStateReadFailure(
     readId: string,
     isRefused: boolean,
     now: Milliseconds,
   ): void {
-    if (!this.#reader.recordUnread(readId, isRefused)) return;
+    if (!this.#reader.recordReadFailure(readId, isRefused)) return;
     if (this.isUp()) return;
     this.#refuseAll(LeaseRefusalReason.UpstreamDown, now);
   }
@@ -233,7 +233,7 @@
     result: OrderResult,
     now: Milliseconds,
   ): boolean {
-    const order = this.#orders.takeOrder(orderId);
+    const order = this.#orders.removeOrder(orderId);
     if (!order) return false;
     switch (order.kind) {
       case "claim":
@@ -241,7 +241,7 @@
         break;
       case "load":
         if (this.#loader.recordLoadEnd(order.adapterKey, result, now)) {
-          this.#refuseWaiters(order.adapterKey, now);
+          this.#refuseWaiting(order.adapterKey, now);
         }
         break;
       case "evict":
@@ -251,15 +251,15 @@
     if (result.kind === "refusedByFencing" && this.isOwning()) {
       this.#depose(now);
     }
-    this.#pump(now);
+    this.#serveQueue(now);
     return true;
   }
 
   /** Reads the state when due, drops what has expired and serves the queue. */
   tick(now: Milliseconds): void {
     this.#claim.tick(now);
-    this.#granter.ledger.dropExpired(now);
-    for (const waiting of this.#queue.removeOverdue(now)) {
+    this.#granter.leases.dropExpired(now);
+    for (const waiting of this.#queue.removeExpired(now)) {
       this.#refuser.refuse(
         waiting.holder,
         waiting.request,
@@ -268,11 +268,11 @@
       );
     }
     this.#reader.tick(now);
-    this.#pump(now);
+    this.#serveQueue(now);
   }
 
-  describeDigest(now: Milliseconds): UpstreamDigest {
-    return describeDigest(this.#getDescribedParts(), now);
+  buildDigest(now: Milliseconds): UpstreamDigest {
+    return buildUpstreamDigest(this.#getDescribedParts(), now);
   }
 
   describe(now: Milliseconds): OwnedUpstreamDescription {
@@ -285,25 +285,25 @@
       claim: this.#claim,
       reader: this.#reader,
       queue: this.#queue,
-      ledger: this.#granter.ledger,
+      leases: this.#granter.leases,
       loader: this.#loader,
     };
   }
 
   /** Returns whether runs are reported on an adapter on which no lease of this owner can have been. */
-  #hasForeignRuns(state: UpstreamStateStructure, now: Milliseconds): boolean {
+  #hasUnleasedRuns(state: UpstreamStateStructure, now: Milliseconds): boolean {
     const { settings } = this.#context.options;
-    const echoMs = settings.engineReportLagMs +
+    const maxReportDelayMs = settings.engineReportLagMs +
       2 * settings.stateReadIntervalMs;
-    let hasForeign = false;
+    let hasUnleased = false;
     for (const { adapterKey, inFlight } of state.residents) {
       const slot = this.#loader.slots.getSlot(adapterKey);
       if (!slot) continue;
-      if (this.#granter.ledger.hasLeases(adapterKey)) slot.lastLeasedAt = now;
+      if (this.#granter.leases.hasLeases(adapterKey)) slot.lastLeasedAt = now;
       const usedAt = Math.max(slot.lastUsedAt, slot.lastLeasedAt);
-      if (inFlight > 0 && now - usedAt > echoMs) hasForeign = true;
+      if (inFlight > 0 && now - usedAt > maxReportDelayMs) hasUnleased = true;
     }
-    return hasForeign;
+    return hasUnleased;
   }
 
   #recordDemand(request: LeaseRequestMessage, now: Milliseconds): void {
@@ -314,47 +314,47 @@
   }
 
   /** Grants what can be granted and orders the loads that the rest waits for. */
-  #pump(now: Milliseconds): void {
+  #serveQueue(now: Milliseconds): void {
     if (!this.#canGrant(now)) return;
     const { creditShares } = this.#context.options;
-    const isExceeding = (customer: string) =>
+    const isOverShare = (customer: string) =>
       creditShares.isExceeding(customer, now);
-    for (const waiting of this.#queue.getOrdered(isExceeding)) {
+    for (const waiting of this.#queue.getOrdered(isOverShare)) {
       this.#serve(waiting, now);
     }
   }
 
   #serve(waiting: WaitingLeaseRequest, now: Milliseconds): void {
-    const isFreeOfPredecessors = this.#claim.isIdleOfPredecessors(now);
+    const hasNoPredecessorRun = this.#claim.hasNoPredecessorRun(now);
     if (this.#context.isService()) {
-      this.#granter.tryGrant(waiting, isFreeOfPredecessors, now);
+      this.#granter.tryGrant(waiting, hasNoPredecessorRun, now);
       return;
     }
     const slot = this.#loader.slots.getSlot(waiting.request.adapterKey);
     if (slot?.state === "resident") {
       slot.lastUsedAt = now;
-      this.#granter.tryGrant(waiting, isFreeOfPredecessors, now);
+      this.#granter.tryGrant(waiting, hasNoPredecessorRun, now);
     } else if (slot?.state !== "evicting") waiting.hasWaitedForLoad = true;
   }
 
   /** Returns the upstream to which a request for an absent adapter is sent on. */
-  #findElsewhere(request: LeaseRequestMessage): string | undefined {
-    const { policy, findElsewhere } = this.#context.options;
+  #findRedirectTarget(request: LeaseRequestMessage): string | undefined {
+    const { policy, findRedirectTarget: findElsewhere } = this.#context.options;
     const isLocal = !policy.redirects || this.#context.isService() ||
       request.isCopy || this.#loader.slots.getSlot(request.adapterKey);
     return isLocal ? undefined : findElsewhere(request.adapterKey);
   }
 
-  #forwardWaiting(now: Milliseconds): void {
+  #redirectWaiting(now: Milliseconds): void {
     for (const { holder, request } of [...this.#queue.list()]) {
-      const elsewhere = this.#findElsewhere(request);
-      if (elsewhere === undefined) continue;
+      const redirectTarget = this.#findRedirectTarget(request);
+      if (redirectTarget === undefined) continue;
       this.#queue.remove(request.leaseRequestId);
-      this.#forwardRequest(holder, request, elsewhere, now);
+      this.#redirectRequest(holder, request, redirectTarget, now);
     }
   }
 
-  #forwardRequest(
+  #redirectRequest(
     holder: string,
     request: LeaseRequestMessage,
     upstreamId: string,
@@ -371,7 +371,7 @@
 
   /** An upstream that restarted runs nothing and holds nothing. */
   #handleRestart(now: Milliseconds): void {
-    this.#granter.ledger.dropAll();
+    this.#granter.leases.dropAll();
     this.#loader.recordRestart(now);
     this.#claim.recordRestart(now);
   }
@@ -381,7 +381,7 @@
     this.#refuseAll(LeaseRefusalReason.NotOwner, now);
   }
 
-  #refuseWaiters(adapterKey: string, now: Milliseconds): void {
+  #refuseWaiting(adapterKey: string, now: Milliseconds): void {
     for (const waiting of this.#queue.removeByAdapter(adapterKey)) {
       this.#refuser.refuse(
         waiting.holder,
--- a/src/core/residency/upstream_ownership.ts
+++ b/src/core/residency/upstream_ownership.ts
@@ -23,18 +23,18 @@
 } from "../structures.ts";
 import type { TableKeeper } from "../tables/table_keeper.ts";
 import { AdapterPopularity } from "./adapter_popularity.ts";
-import type { StoreAccess, StorePermit } from "./store_access.ts";
+import type { StorePermit, StorePermitClient } from "./store_access.ts";
 import type { OwnedUpstreamDescription } from "./owner_description.ts";
 import { UpstreamOwner } from "./upstream_owner.ts";
 
-export interface UpstreamOwnershipOptions {
+export interface OwnedUpstreamsOptions {
   selfId: string;
   incarnation: string;
   settings: CoreSettings;
   policy: CorePolicy;
   tables: TableKeeper;
   membership: Membership;
-  store: StoreAccess;
+  store: StorePermitClient;
   emit: (effect: Effect) => void;
   /** Tells peers what the owner knows of an upstream. */
   publishUpstream: (digest: UpstreamDigest, now: Milliseconds) => void;
@@ -45,10 +45,10 @@
 }
 
 /** Time for which a handover waits for its ownership to be seen here. */
-const HANDOVER_WAIT_MS = 5_000;
+const HANDOVER_LIFETIME_MS = 5_000;
 
-export class UpstreamOwnership {
-  readonly #options: UpstreamOwnershipOptions;
+export class OwnedUpstreams {
+  readonly #options: OwnedUpstreamsOptions;
   readonly #creditShares: FairShares;
   readonly #loadShares: FairShares;
   readonly #popularity = new AdapterPopularity();
@@ -64,7 +64,7 @@
   #epoch = -1;
   #revision = -1;
 
-  constructor(options: UpstreamOwnershipOptions) {
+  constructor(options: OwnedUpstreamsOptions) {
     this.#options = options;
     this.#ids = new IdSource(options);
     const getShare = (customer: string) =>
@@ -98,17 +98,17 @@
     for (const [upstreamId, owner] of this.#owners) {
       if (wanted.has(upstreamId)) continue;
       if (this.#isLastOwner(upstreamId)) continue;
-      this.#giveUpOwnership(owner, LeaseRefusalReason.NotOwner, now);
+      this.#releaseOwnership(owner, LeaseRefusalReason.NotOwner, now);
     }
   }
 
   tick(now: Milliseconds): void {
     const { selfId, membership } = this.#options;
     for (const owner of this.#owners.values()) {
-      const isRivalled = membership.views.hasRival(selfId, owner.upstreamId);
-      if (isRivalled) owner.recordRival(now);
+      const hasOtherOwner = membership.views.hasRival(selfId, owner.upstreamId);
+      if (hasOtherOwner) owner.recordOtherOwner(now);
       owner.tick(now);
-      this.#options.publishUpstream(owner.describeDigest(now), now);
+      this.#options.publishUpstream(owner.buildDigest(now), now);
     }
     this.#options.publishEvictions(this.#popularity.takeEvictions(now));
     this.#updateDemand(now);
@@ -144,7 +144,7 @@
   }
 
   /** Starts the most urgent load under the permit, or returns it unused. */
-  takePermit(permit: StorePermit, now: Milliseconds): void {
+  startMostUrgentLoad(permit: StorePermit, now: Milliseconds): void {
     let best: UpstreamOwner | undefined;
     let urgency = 0;
     for (const owner of this.#owners.values()) {
@@ -171,7 +171,7 @@
   handOverAll(now: Milliseconds): void {
     for (const owner of [...this.#owners.values()]) {
       if (this.#isLastOwner(owner.upstreamId)) continue;
-      this.#giveUpOwnership(owner, LeaseRefusalReason.Stopping, now);
+      this.#releaseOwnership(owner, LeaseRefusalReason.Stopping, now);
     }
   }
 
@@ -216,7 +216,8 @@
       maxRunMs: this.#options.tables.getSnapshot()?.getMaxRunMs(pool.name) ??
         0,
       emit,
-      findElsewhere: (adapterKey) => membership.findHolder(adapterKey, host),
+      findRedirectTarget: (adapterKey) =>
+        membership.findHolder(adapterKey, host),
       creditShares: this.#creditShares,
       loadShares: this.#loadShares,
       createId: (prefix) => this.#ids.createId(prefix),
@@ -224,7 +225,7 @@
     this.#owners.set(host.id, owner);
     const handover = this.#handovers.get(host.id);
     this.#handovers.delete(host.id);
-    if (handover && now - handover.arrivedAt < HANDOVER_WAIT_MS) {
+    if (handover && now - handover.arrivedAt < HANDOVER_LIFETIME_MS) {
       owner.acceptHandover(handover.message, now);
     }
     owner.tick(now);
@@ -250,7 +251,7 @@
   }
 
   /** Hands the upstream over to its next owner, if one is known. */
-  #giveUpOwnership(
+  #releaseOwnership(
     owner: UpstreamOwner,
     reason: LeaseRefusalReason,
     now: Milliseconds,
--- a/src/core/residency/upstream_reader.ts
+++ b/src/core/residency/upstream_reader.ts
@@ -9,12 +9,12 @@
 }
 
 /** Readings that may fail in a row before the upstream counts as down. */
-const MAX_FAILED_READINGS = 2;
+const MAX_READ_FAILURES = 2;
 
 export class UpstreamReader {
   readonly #context: OwnerContext;
   #reading: Reading | undefined;
-  #pending: { readId: string; startedAt: Milliseconds } | undefined;
+  #pendingRead: { readId: string; startedAt: Milliseconds } | undefined;
   #lastStartedAt = Number.NEGATIVE_INFINITY;
   #failures = 0;
 
@@ -31,7 +31,7 @@
   }
 
   isUp(): boolean {
-    return this.#reading !== undefined && this.#failures < MAX_FAILED_READINGS;
+    return this.#reading !== undefined && this.#failures < MAX_READ_FAILURES;
   }
 
   isLeaving(): boolean {
@@ -54,11 +54,11 @@
   /** Starts a reading when one is due. */
   tick(now: Milliseconds): void {
     const { settings, host, pool, emit } = this.#context.options;
-    const isDue = this.#pending === undefined &&
+    const isDue = this.#pendingRead === undefined &&
       now - this.#lastStartedAt >= settings.stateReadIntervalMs;
     if (!isDue) return;
     const readId = this.#context.createId("read");
-    this.#pending = { readId, startedAt: now };
+    this.#pendingRead = { readId, startedAt: now };
     this.#lastStartedAt = now;
     emit({
       kind: "readUpstreamState",
@@ -74,21 +74,21 @@
     readId: string,
     state: UpstreamStateStructure,
   ): { reading: Reading; hasRestarted: boolean } | undefined {
-    if (this.#pending?.readId !== readId) return undefined;
-    const reading = { state, readAt: this.#pending.startedAt };
+    if (this.#pendingRead?.readId !== readId) return undefined;
+    const reading = { state, readAt: this.#pendingRead.startedAt };
     const hasRestarted = this.#reading !== undefined &&
       this.#reading.state.incarnation !== state.incarnation;
-    this.#pending = undefined;
+    this.#pendingRead = undefined;
     this.#failures = 0;
     this.#reading = reading;
     return { reading, hasRestarted };
   }
 
   /** Records a reading that failed; returns false for one that is not awaited. */
-  recordUnread(readId: string, isRefused: boolean): boolean {
-    if (this.#pending?.readId !== readId) return false;
-    this.#pending = undefined;
-    this.#failures = isRefused ? MAX_FAILED_READINGS : this.#failures + 1;
+  recordReadFailure(readId: string, isRefused: boolean): boolean {
+    if (this.#pendingRead?.readId !== readId) return false;
+    this.#pendingRead = undefined;
+    this.#failures = isRefused ? MAX_READ_FAILURES : this.#failures + 1;
     return true;
   }
 }
--- a/src/core/routing/upstream_selector.ts
+++ b/src/core/routing/upstream_selector.ts
@@ -44,11 +44,11 @@
 /** Cost of each doubling of the victim's popularity. */
 const VICTIM_COST = 0.3;
 /** Cost of another failure domain. */
-const REMOTE_COST = 0.01;
+const OTHER_DOMAIN_COST = 0.01;
 /** Largest part of the cost that ties are broken by. */
-const TIE_COST = 0.005;
+const MAX_TIE_BREAKER_COST = 0.005;
 /** Filled share of a batch beyond which a run is expected to wait. */
-const FILL_TARGET = 0.75;
+const TARGET_BATCH_FILL = 0.75;
 /** Cost of each batch beyond the target. */
 const OVERFILL_COST = 2;
 /** Cost of a batch that is filled up to the target, where load stalls alone count. */
@@ -79,12 +79,15 @@
   const used = Math.max(digest.creditsInUse, candidate.localCredits) +
     digest.waiting;
   const fill = used / pool.batchSize;
-  const distance = host.failureDomain === failureDomain ? 0 : REMOTE_COST;
-  const tie = hashText(`${adapterKey}\u0000${host.id}`) / 2 ** 32 * TIE_COST;
+  const domainCost = host.failureDomain === failureDomain
+    ? 0
+    : OTHER_DOMAIN_COST;
+  const tieBreaker = hashText(`${adapterKey}\u0000${host.id}`) / 2 ** 32 *
+    MAX_TIE_BREAKER_COST;
   return {
     candidate,
     residency,
-    cost: computeFillCost(fill, pool) + distance + tie +
+    cost: computeFillCost(fill, pool) + domainCost + tieBreaker +
       computeResidencyCost(residency, digest),
   };
 }
@@ -95,9 +98,9 @@
   const weights = Math.max(1e-9, loadStallWeight + batchEfficiencyWeight);
   const balance = (loadStallWeight - batchEfficiencyWeight) / weights;
   const slope = balance * (balance > 0 ? SPREAD_COST : PACK_GAIN);
-  if (fill <= FILL_TARGET) return fill * slope;
-  return Math.max(0, FILL_TARGET * slope) +
-    (fill - FILL_TARGET) * OVERFILL_COST;
+  if (fill <= TARGET_BATCH_FILL) return fill * slope;
+  return Math.max(0, TARGET_BATCH_FILL * slope) +
+    (fill - TARGET_BATCH_FILL) * OVERFILL_COST;
 }
 
 /** Returns how the upstream, as its owner last published it, stands to the adapter. */
--- a/src/core/routing/upstream_shortlist.ts
+++ b/src/core/routing/upstream_shortlist.ts
@@ -7,13 +7,13 @@
 import type { HostStructure } from "../structures.ts";
 
 /** Pools up to this size are ranked whole. */
-const MAX_WHOLE_POOL = 32;
+const MAX_FULLY_RANKED_POOL = 32;
 /** Upstreams drawn by hash. */
-const DRAWN_UPSTREAMS = 16;
+const SAMPLED_UPSTREAMS = 16;
 
 export interface ShortlistOptions {
   /** Upstreams on which the adapter is resident or being loaded. */
-  holderIds: ReadonlySet<string>;
+  adapterUpstreamIds: ReadonlySet<string>;
   /** Adapter, or for plain services the request. */
   key: string;
   /** Returns the upstream if the pool selects it. */
@@ -25,13 +25,13 @@
   poolHosts: readonly HostStructure[],
   options: ShortlistOptions,
 ): Iterable<HostStructure> {
-  if (poolHosts.length <= MAX_WHOLE_POOL) return poolHosts;
+  if (poolHosts.length <= MAX_FULLY_RANKED_POOL) return poolHosts;
   const shortlist = new Set<HostStructure>();
-  for (const id of options.holderIds) {
+  for (const id of options.adapterUpstreamIds) {
     const host = options.getPoolHost(id);
     if (host) shortlist.add(host);
   }
-  for (let seed = 0; seed < DRAWN_UPSTREAMS; seed += 1) {
+  for (let seed = 0; seed < SAMPLED_UPSTREAMS; seed += 1) {
     const host = poolHosts[hashText(options.key, seed) % poolHosts.length];
     if (host) shortlist.add(host);
   }
--- a/test/core/residency/lease_ledger_test.ts
+++ b/test/core/residency/lease_ledger_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import {
   type GrantedLease,
-  LeaseLedger,
+  GrantedLeases,
 } from "../../../src/core/residency/lease_ledger.ts";
 
 function createLease(changes: Partial<GrantedLease> = {}): GrantedLease {
@@ -15,13 +15,13 @@
     returnedCredits: 0,
     exclusive: false,
     windowEndsAt: 2_000,
-    safeUntil: 10_000,
+    expiresAt: 10_000,
     ...changes,
   };
 }
 
 test("counts a repeated return once", () => {
-  const ledger = new LeaseLedger();
+  const ledger = new GrantedLeases();
   ledger.addLease(createLease());
   ledger.returnCredits("lease-1", 1);
   ledger.returnCredits("lease-1", 1);
@@ -30,7 +30,7 @@
 });
 
 test("takes returns that come out of order", () => {
-  const ledger = new LeaseLedger();
+  const ledger = new GrantedLeases();
   ledger.addLease(createLease());
   ledger.returnCredits("lease-1", 2);
   ledger.returnCredits("lease-1", 1);
@@ -39,7 +39,7 @@
 });
 
 test("keeps a lease until window and longest run have passed", () => {
-  const ledger = new LeaseLedger();
+  const ledger = new GrantedLeases();
   ledger.addLease(createLease());
   ledger.dropExpired(9_999);
   assert.ok(ledger.hasLeases("briefing@v1"));
@@ -48,7 +48,7 @@
 });
 
 test("believes an idle report only if it was read after window and lag", () => {
-  const ledger = new LeaseLedger();
+  const ledger = new GrantedLeases();
   ledger.addLease(createLease());
   ledger.dropIdle("briefing@v1", 2_499, 500);
   assert.ok(ledger.hasLeases("briefing@v1"));
@@ -57,7 +57,7 @@
 });
 
 test("adds a lease that is handed over twice once", () => {
-  const ledger = new LeaseLedger();
+  const ledger = new GrantedLeases();
   ledger.addLease(createLease());
   ledger.addLease(createLease());
   assert.is(ledger.getCreditsInUse(), 2);
--- a/test/core/residency/ownership_claim_test.ts
+++ b/test/core/residency/ownership_claim_test.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_CORE_SETTINGS } from "../../../src/core/core_settings.ts";
 import type { Effect } from "../../../src/core/effects.ts";
 import type { HandoverMessage } from "../../../src/core/messages.ts";
-import { OrderBook } from "../../../src/core/residency/order_book.ts";
+import { PendingOrders } from "../../../src/core/residency/order_book.ts";
 import {
   OwnerContext,
   type UpstreamOwnerOptions,
@@ -38,7 +38,7 @@
     } as unknown as UpstreamOwnerOptions,
   );
   const parts = {
-    orders: new OrderBook(context),
+    orders: new PendingOrders(context),
     reader: new UpstreamReader(context),
   };
   const claim = new OwnershipClaim(context, parts, options.claimedAt);
@@ -68,7 +68,7 @@
     upstreamIncarnation: "e1",
     fencing: claim.fencing,
     leases: [],
-    ...claim.describePredecessors(now),
+    ...claim.describePredecessorWait(now),
   };
 }
 
@@ -79,7 +79,7 @@
     claimedAt: 300,
   });
   second.acceptHandover(createHandover(first, 200), 300);
-  assert.not(second.isFreeOfPredecessors("briefing@v1", 400));
+  assert.not(second.hasNoPredecessorRunOn("briefing@v1", 400));
   assert.is(second.getEvictionAllowedInMs(300), PREDECESSOR_WAIT_MS - 200);
 });
 
@@ -91,7 +91,7 @@
     claimedAt: now,
   });
   second.acceptHandover(createHandover(first, now), now);
-  assert.ok(second.isFreeOfPredecessors("briefing@v1", now));
+  assert.ok(second.hasNoPredecessorRunOn("briefing@v1", now));
 });
 
 test("a handover by a daemon that was not the last to claim lifts nothing", () => {
@@ -118,8 +118,8 @@
       claimedAt: 0,
       fencing,
     });
-    claim.recordRival(now);
-    assert.is(claim.isFreeOfPredecessors("briefing@v1", now + 1_000), isFree);
+    claim.recordOtherOwner(now);
+    assert.is(claim.hasNoPredecessorRunOn("briefing@v1", now + 1_000), isFree);
   });
 }
 
--- a/test/core/residency/slot_table_test.ts
+++ b/test/core/residency/slot_table_test.ts
@@ -18,8 +18,8 @@
 test("a reading that began before an eviction does not bring the adapter back", () => {
   const slots = new SlotTable(2);
   slots.reconcile(createState([ADAPTER]), 10, 20);
-  slots.apply(ADAPTER, "evictOrdered", 30);
-  slots.apply(ADAPTER, "orderDone", 50);
+  slots.applyTrigger(ADAPTER, "evictOrdered", 30);
+  slots.applyTrigger(ADAPTER, "orderDone", 50);
   assert.not(slots.reconcile(createState([ADAPTER]), 40, 60));
   assert.is(slots.getSlot(ADAPTER), undefined);
 });
@@ -40,7 +40,7 @@
 test("the end of an own order is no foreign change", () => {
   const slots = new SlotTable(2);
   slots.addLoading(ADAPTER, 10);
-  slots.apply(ADAPTER, "orderDone", 20);
+  slots.applyTrigger(ADAPTER, "orderDone", 20);
   assert.not(slots.reconcile(createState([ADAPTER]), 30, 40));
 });
 
--- a/test/core/residency/store_keeper_test.ts
+++ b/test/core/residency/store_keeper_test.ts
@@ -2,21 +2,21 @@
 import * as assert from "uvu/assert";
 import type { Effect } from "../../../src/core/effects.ts";
 import type { PeerMessage } from "../../../src/core/messages.ts";
-import { StoreKeeper } from "../../../src/core/residency/store_keeper.ts";
+import { StoreCoordinator } from "../../../src/core/residency/store_keeper.ts";
 
 const LIFETIME_MS = 2_000;
 const SHARE = { loadsPerSecond: 1, loadsInFlight: 2 };
 
 type Sent = Extract<Effect, { kind: "send" }>;
 
-function createKeeper(): {
-  keeper: StoreKeeper;
+function createCoordinator(): {
+  keeper: StoreCoordinator;
   takePermits(): { to: string; permitId: string; lenderId: string }[];
   takeSent(): Sent[];
 } {
   const effects: Effect[] = [];
   let lastId = 0;
-  const keeper = new StoreKeeper(
+  const keeper = new StoreCoordinator(
     {
       selfId: "keeper-a",
       failureDomain: "a",
@@ -51,7 +51,7 @@
 }
 
 test("a new keeper gives nothing while permits of an earlier one may be in use", () => {
-  const { keeper, takePermits } = createKeeper();
+  const { keeper, takePermits } = createCoordinator();
   keeper.recordDemand("d1", createDemand(1, 1), 0);
   keeper.tick([], LIFETIME_MS / 2);
   assert.equal(takePermits(), []);
@@ -61,7 +61,7 @@
 });
 
 test("permits go to the most urgent daemon, within rate and room", () => {
-  const { keeper, takePermits } = createKeeper();
+  const { keeper, takePermits } = createCoordinator();
   const now = 10_000;
   keeper.recordDemand("d1", createDemand(5, 1), now);
   assert.equal(takePermits().map(({ to }) => to), ["d1"]);
@@ -77,7 +77,7 @@
 });
 
 test("a permit that is never returned is over after its lifetime", () => {
-  const { keeper, takePermits } = createKeeper();
+  const { keeper, takePermits } = createCoordinator();
   for (const at of [10_000, 11_000]) {
     keeper.recordDemand("d1", createDemand(1, 1), at);
   }
@@ -87,7 +87,7 @@
 });
 
 test("a permit returned unused may be given again at once", () => {
-  const { keeper, takePermits } = createKeeper();
+  const { keeper, takePermits } = createCoordinator();
   keeper.recordDemand("d1", createDemand(1, 1), 10_000);
   const [permit] = takePermits();
   keeper.recordDemand("d2", createDemand(1, 1), 10_001);
@@ -101,7 +101,7 @@
 });
 
 test("another domain is lent only what this one does not want", () => {
-  const { keeper, takePermits } = createKeeper();
+  const { keeper, takePermits } = createCoordinator();
   keeper.tick([], 10_000);
   keeper.recordDemand("keeper-b", createDemand(3, 100, "b"), 10_000);
   assert.equal(takePermits().map(({ to }) => to), ["keeper-b"]);
@@ -112,7 +112,7 @@
 });
 
 test("unmet demand is sent to the lenders, and a loan to who needs it most", () => {
-  const { keeper, takeSent } = createKeeper();
+  const { keeper, takeSent } = createCoordinator();
   keeper.recordDemand("d1", createDemand(1, 1), 0);
   keeper.recordDemand("d2", createDemand(1, 5), 0);
   takeSent();
--- a/test/core/routing/upstream_shortlist_test.ts
+++ b/test/core/routing/upstream_shortlist_test.ts
@@ -17,11 +17,11 @@
 function shortlist(
   hosts: HostStructure[],
   key: string,
-  holderIds: string[] = [],
+  adapterUpstreamIds: string[] = [],
 ): string[] {
   const byId = new Map(hosts.map((host) => [host.id, host]));
   return [...listShortlist(hosts, {
-    holderIds: new Set(holderIds),
+    adapterUpstreamIds: new Set(adapterUpstreamIds),
     key,
     getPoolHost: (id) => byId.get(id),
   })].map((host) => host.id);
--- a/test/fuzz/mutants.ts
+++ b/test/fuzz/mutants.ts
@@ -26,7 +26,7 @@
     promise: FuzzPromise.NoEvictionInUse,
     patches: [{
       file: "residency/slot_loader.ts",
-      search: "return !this.#parts.ledger.hasLeases(adapterKey) &&",
+      search: "return !this.#parts.leases.hasLeases(adapterKey) &&",
       replacement: "return true ||",
     }],
   },
