--- a/src/gateway/attempt_runner.ts
+++ b/src/gateway/attempt_runner.ts
@@ -10,56 +10,60 @@
 import type { Milliseconds } from "../core/structures.ts";
 import type { PublishedUpstream } from "../core/view/published_view.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
-import { type AttemptFacts, NotRunReason, type UpstreamHead } from "./ports.ts";
+import {
+  type AttemptMetadata,
+  NotRunReason,
+  type ResponseHead,
+} from "./ports.ts";
 import type { RequestContext } from "./request_context.ts";
 import type { AttemptEnd } from "./upstream_client.ts";
 
 /** Longest answer that is not a stream, by what callers may send (`max_body_bytes` of the users' configurations, 4 MB). */
-const MAX_ANSWER_BYTES = 4 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
 /** Memory of a piece beside its bytes, so that a flood of tiny chunks meets the bound too: a Buffer and its place in a list. */
-const PIECE_OVERHEAD_BYTES = 128;
+const CHUNK_OVERHEAD_BYTES = 128;
 
 export interface AttemptResult {
   outcome: AttemptOutcome;
   upstreamId: string;
   /** Why it was not run, where the upstream says so. */
-  notRun: NotRunReason | undefined;
+  notRunReason: NotRunReason | undefined;
   status: number;
   /** Whether its connection broke, as when the upstream died. */
-  hasBroken: boolean;
+  isConnectionBroken: boolean;
   /** The whole answer; undefined when it was streamed or did not come. */
-  answer: { status: number; rawHeaders: string[]; body: Buffer } | undefined;
+  response: { status: number; rawHeaders: string[]; body: Buffer } | undefined;
   detail: string;
 }
 
 /** What follows from a piece of a stream. */
-export const PieceVerdict = {
-  ReadOn: "readOn",
+export const SinkDecision = {
+  Continue: "readOn",
   /** The caller is slow: nothing more is read until `resume`. */
   Pause: "pause",
   /** These bytes are no events. */
-  Cut: "cut",
+  Abort: "cut",
 } as const;
-export type PieceVerdict = (typeof PieceVerdict)[keyof typeof PieceVerdict];
+export type SinkDecision = (typeof SinkDecision)[keyof typeof SinkDecision];
 
 /** Takes the pieces of a successful stream. */
 export interface StreamSink {
   start(status: number, rawHeaders: string[]): void;
-  push(piece: Buffer): PieceVerdict;
+  push(chunk: Buffer): SinkDecision;
 }
 
 export interface AttemptOptions {
   exchange: CallerExchange;
   upstream: PublishedUpstream;
-  facts: AttemptFacts;
+  metadata: AttemptMetadata;
   mayReuseConnection: boolean;
   /** Time without a head after which the attempt is given up. */
-  silenceMs: Milliseconds;
+  responseHeaderTimeoutMs: Milliseconds;
   /** Set for streams. */
   sink: StreamSink | undefined;
   /** Takes what a head that is this request's says of its upstream. */
-  handleHead: (head: UpstreamHead) => void;
+  handleHead: (head: ResponseHead) => void;
 }
 
 export interface RunningAttempt {
@@ -74,15 +78,15 @@
   context: RequestContext,
   options: AttemptOptions,
 ): RunningAttempt {
-  const { exchange, upstream, facts, sink } = options;
-  const { dialect } = context;
-  let head: UpstreamHead | undefined;
+  const { exchange, upstream, metadata: metadata, sink } = options;
+  const { headerCodec: headerCodec } = context;
+  let head: ResponseHead | undefined;
   let rawHeaders: string[] = [];
   let isStreaming = false;
-  let hasBroken = false;
-  const pieces: Buffer[] = [];
-  const { answerMemory } = context;
-  const reservation = answerMemory.createReservation();
+  let isConnectionBroken = false;
+  const chunks: Buffer[] = [];
+  const { responseMemory: responseMemory } = context;
+  const reservation = responseMemory.createReservation();
   let settle: (result: AttemptResult) => void = () => {};
   const result = new Promise<AttemptResult>((resolve) => settle = resolve);
   let isSettled = false;
@@ -90,108 +94,110 @@
     if (isSettled) return;
     isSettled = true;
     clearTimeout(timer);
-    answerMemory.release(reservation);
-    const isWhole = head !== undefined && !isStreaming &&
+    responseMemory.release(reservation);
+    const hasWholeResponse = head !== undefined && !isStreaming &&
       (outcome === AttemptOutcome.Answered ||
         outcome === AttemptOutcome.Failed);
     settle({
       outcome,
       upstreamId: upstream.id,
-      notRun: head?.notRun,
+      notRunReason: head?.notRunReason,
       status: head?.status ?? 0,
-      hasBroken,
-      answer: isWhole
+      isConnectionBroken: isConnectionBroken,
+      response: hasWholeResponse
         ? {
           status: head?.status ?? 0,
-          rawHeaders: dialect.encodeAnswerHeaders(rawHeaders),
-          body: Buffer.concat(pieces),
+          rawHeaders: headerCodec.encodeResponseHeaders(rawHeaders),
+          body: Buffer.concat(chunks),
         }
         : undefined,
       detail,
     });
   };
-  const giveUp = (outcome: AttemptOutcome, detail: string): void => {
-    started.abandon();
+  const abort = (outcome: AttemptOutcome, detail: string): void => {
+    attempt.cancel();
     finish(outcome, detail);
   };
   const timer = setTimeout(
     () => {
-      if (!head) giveUp(AttemptOutcome.Silent, "no head in time");
+      if (!head) abort(AttemptOutcome.Silent, "no head in time");
     },
-    Math.max(1, options.silenceMs),
+    Math.max(1, options.responseHeaderTimeoutMs),
   );
-  const started = context.upstreams.startAttempt({
+  const attempt = context.upstreams.startAttempt({
     address: upstream.address,
     method: exchange.method,
     url: exchange.url,
-    rawHeaders: dialect.encodeAttemptHeaders(exchange.rawHeaders, facts),
+    rawHeaders: headerCodec.encodeAttemptHeaders(exchange.rawHeaders, metadata),
     body: exchange.body,
     mayReuseConnection: options.mayReuseConnection,
   }, {
     onHead: (response: IncomingMessage) => {
       rawHeaders = response.rawHeaders;
-      head = dialect.decodeUpstreamHead(
+      head = headerCodec.decodeResponseHead(
         response.statusCode ?? 0,
         response.headers,
-        exchange.facts.requestId,
+        exchange.metadata.requestId,
       );
       const isSuccess = head.status >= 200 && head.status < 300;
       if (head.isForRequest) options.handleHead(head);
       if (!head.isForRequest) {
-        giveUp(AttemptOutcome.Lost, "the answer names another request");
-      } else if (isSuccess && (!head.hasProof || head.isEncoded)) {
-        giveUp(AttemptOutcome.Lost, "the answer is not the upstream's own");
+        abort(AttemptOutcome.Lost, "the answer names another request");
+      } else if (
+        isSuccess && (!head.hasResponseStamp || head.hasContentEncoding)
+      ) {
+        abort(AttemptOutcome.Lost, "the answer is not the upstream's own");
       } else if (isSuccess && sink) {
         isStreaming = true;
-        sink.start(head.status, dialect.encodeAnswerHeaders(rawHeaders));
+        sink.start(head.status, headerCodec.encodeResponseHeaders(rawHeaders));
       }
     },
-    onPiece: (piece) => {
+    onChunk: (chunk) => {
       if (isSettled) return false;
       if (isStreaming && sink) {
-        const verdict = sink.push(piece);
-        if (verdict === PieceVerdict.Cut) {
-          giveUp(AttemptOutcome.Lost, "an event without end");
+        const decision = sink.push(chunk);
+        if (decision === SinkDecision.Abort) {
+          abort(AttemptOutcome.Lost, "an event without end");
         }
-        return verdict === PieceVerdict.ReadOn;
+        return decision === SinkDecision.Continue;
       }
-      const bytes = piece.length + PIECE_OVERHEAD_BYTES;
-      const isTaken = reservation.bytes + bytes <= MAX_ANSWER_BYTES &&
-        answerMemory.tryExtend(reservation, bytes);
-      if (isTaken) pieces.push(piece);
-      else giveUp(AttemptOutcome.Lost, "the answer is too long");
-      return isTaken;
+      const bytes = chunk.length + CHUNK_OVERHEAD_BYTES;
+      const isBuffered = reservation.bytes + bytes <= MAX_RESPONSE_BYTES &&
+        responseMemory.tryExtend(reservation, bytes);
+      if (isBuffered) chunks.push(chunk);
+      else abort(AttemptOutcome.Lost, "the answer is too long");
+      return isBuffered;
     },
     onEnd: (end) => {
       if (isSettled) return;
-      hasBroken = end.kind === "broken";
+      isConnectionBroken = end.kind === "broken";
       const [outcome, detail] = classifyEnd(end, head);
       finish(outcome, detail);
     },
   });
   return {
     result,
-    cancel: () => giveUp(AttemptOutcome.Silent, "cancelled"),
-    resume: () => started.resume(),
+    cancel: () => abort(AttemptOutcome.Silent, "cancelled"),
+    resume: () => attempt.resume(),
   };
 }
 
 function classifyEnd(
   end: AttemptEnd,
-  head: UpstreamHead | undefined,
+  head: ResponseHead | undefined,
 ): [AttemptOutcome, string] {
   switch (end.kind) {
     case "notSent":
       return [AttemptOutcome.NotSent, end.detail];
     case "broken":
       // A promise in the head holds, whatever became of the body.
-      return head?.notRun !== undefined
+      return head?.notRunReason !== undefined
         ? [AttemptOutcome.NotRun, end.detail]
         : [AttemptOutcome.Lost, end.detail];
     case "complete":
       if (!head) return [AttemptOutcome.Lost, "ended without a head"];
-      if (head.notRun !== undefined) {
-        return [AttemptOutcome.NotRun, head.notRun];
+      if (head.notRunReason !== undefined) {
+        return [AttemptOutcome.NotRun, head.notRunReason];
       }
       return head.status >= 500
         ? [AttemptOutcome.Failed, `status ${head.status}`]
@@ -200,7 +206,9 @@
 }
 
 /** Returns what an attempt's end says of the upstream; undefined when it says nothing. */
-export function getHealthSign(result: AttemptResult): HealthSignal | undefined {
+export function classifyHealth(
+  result: AttemptResult,
+): HealthSignal | undefined {
   switch (result.outcome) {
     case AttemptOutcome.Answered:
       return HealthSignal.Answered;
@@ -211,7 +219,7 @@
     case AttemptOutcome.NotSent:
       return HealthSignal.Unreachable;
     case AttemptOutcome.NotRun:
-      return result.notRun === NotRunReason.Rejected
+      return result.notRunReason === NotRunReason.Rejected
         ? HealthSignal.Rejected
         : undefined;
   }
--- a/src/gateway/caller_exchange.ts
+++ b/src/gateway/caller_exchange.ts
@@ -3,15 +3,15 @@
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Milliseconds } from "../core/structures.ts";
 import { writeChunk } from "../daemon/chunk_writer.ts";
-import type { CallerFacts } from "./ports.ts";
+import type { RequestMetadata } from "./ports.ts";
 
 /** Bytes written and not read by the caller beyond which its upstream is read no further: some thousand events. */
-const MAX_BACKLOG_BYTES = 256 * 1024;
+const WRITE_BUFFER_LIMIT_BYTES = 256 * 1024;
 
 export interface CallerExchangeOptions {
   request: IncomingMessage;
   response: ServerResponse;
-  facts: CallerFacts;
+  metadata: RequestMetadata;
   body: Buffer;
   /** When the head of the request was read. */
   arrivedAt: Milliseconds;
@@ -21,21 +21,21 @@
 
 export class CallerExchange {
   readonly #options: CallerExchangeOptions;
-  #isGone = false;
+  #isDisconnected = false;
   #hasWritten = false;
-  #handleGone: (() => void) | undefined;
+  #disconnectListener: (() => void) | undefined;
 
   constructor(options: CallerExchangeOptions) {
     this.#options = options;
     options.response.once("close", () => {
       if (options.response.writableFinished) return;
-      this.#isGone = true;
-      this.#handleGone?.();
+      this.#isDisconnected = true;
+      this.#disconnectListener?.();
     });
   }
 
-  get facts(): CallerFacts {
-    return this.#options.facts;
+  get metadata(): RequestMetadata {
+    return this.#options.metadata;
   }
 
   get body(): Buffer {
@@ -60,28 +60,28 @@
   }
 
   /** Whether the caller has closed its connection before the whole answer. */
-  get isGone(): boolean {
-    return this.#isGone;
+  get isDisconnected(): boolean {
+    return this.#isDisconnected;
   }
 
-  get hasStarted(): boolean {
+  get hasSentHeaders(): boolean {
     return this.#options.response.headersSent;
   }
 
   /** Calls back when the caller leaves before the end. */
-  onGone(handle: () => void): void {
-    this.#handleGone = handle;
-    if (this.#isGone) handle();
+  onDisconnect(listener: () => void): void {
+    this.#disconnectListener = listener;
+    if (this.#isDisconnected) listener();
   }
 
   /** Answers with a whole body. */
-  answer(
+  sendResponse(
     status: number,
     rawHeaders: readonly string[],
     body: Buffer,
   ): void {
-    if (this.#isGone || this.hasStarted) return;
-    const headers = dropBodyHeaders(rawHeaders);
+    if (this.#isDisconnected || this.hasSentHeaders) return;
+    const headers = stripContentLength(rawHeaders);
     this.#writeHead(status, [
       ...headers,
       "Content-Length",
@@ -91,49 +91,49 @@
   }
 
   /** Answers in the gateway's own name. */
-  answerText(
+  sendError(
     status: number,
     rawHeaders: readonly string[],
     text: string,
   ): void {
     const headers = [...rawHeaders, "Content-Type", "application/json"];
     const body = Buffer.from(`${JSON.stringify({ error: text })}\n`);
-    this.answer(status, headers, body);
+    this.sendResponse(status, headers, body);
   }
 
   /** Starts an answer whose pieces follow. */
   startStream(status: number, rawHeaders: readonly string[]): void {
-    if (this.#isGone || this.hasStarted) return;
-    this.#writeHead(status, dropBodyHeaders(rawHeaders));
+    if (this.#isDisconnected || this.hasSentHeaders) return;
+    this.#writeHead(status, stripContentLength(rawHeaders));
   }
 
-  write(piece: Buffer): void {
-    if (piece.length === 0 || this.#isGone) return;
+  write(chunk: Buffer): void {
+    if (chunk.length === 0 || this.#isDisconnected) return;
     const { response } = this.#options;
     // The head leaves with the first piece.
-    if (this.#hasWritten) writeChunk(response, piece);
-    else response.write(piece);
+    if (this.#hasWritten) writeChunk(response, chunk);
+    else response.write(chunk);
     this.#hasWritten = true;
   }
 
   /** Whether the caller has so much left to read that no more should be written. */
-  get isBacklogged(): boolean {
+  get isWriteBufferFull(): boolean {
     const { socket } = this.#options.response;
-    return socket !== null && socket.writableLength > MAX_BACKLOG_BYTES;
+    return socket !== null && socket.writableLength > WRITE_BUFFER_LIMIT_BYTES;
   }
 
   /** Calls back once when the caller has read what was written. */
-  awaitDrained(handle: () => void): void {
-    this.#options.response.socket?.once("drain", handle);
+  onDrain(listener: () => void): void {
+    this.#options.response.socket?.once("drain", listener);
   }
 
   /** Ends a streamed answer as complete. */
   end(): void {
-    if (!this.#isGone) this.#options.response.end();
+    if (!this.#isDisconnected) this.#options.response.end();
   }
 
   /** Closes the connection, so that the answer can't be taken for complete. */
-  breakOff(): void {
+  abort(): void {
     this.#options.response.destroy();
   }
 
@@ -146,7 +146,7 @@
 }
 
 /** The length of the body is set here, or left to chunks. */
-function dropBodyHeaders(rawHeaders: readonly string[]): string[] {
+function stripContentLength(rawHeaders: readonly string[]): string[] {
   const kept: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     const name = rawHeaders[index] ?? "";
--- a/src/gateway/caller_task.ts
+++ b/src/gateway/caller_task.ts
@@ -16,24 +16,24 @@
 import type { Milliseconds } from "../core/structures.ts";
 import { describeError } from "../daemon/step_error.ts";
 import { CallerExchange } from "./caller_exchange.ts";
-import type { CallerFacts } from "./ports.ts";
+import type { RequestMetadata } from "./ports.ts";
 import type { RequestContext } from "./request_context.ts";
-import { RequestFlow } from "./request_flow.ts";
+import { RequestHandler } from "./request_flow.ts";
 
 /** Bounds before a configuration says otherwise. */
-const DEFAULT_BODY_BYTES = 4 * 1024 * 1024;
+const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
 const DEFAULT_HEADER_TIMEOUT_MS = 3_000;
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
 /** Time for which an idle connection outlives the limit, so that a caller's last use does not cross its close. */
-const IDLE_SLACK_MS = 500;
+const KEEP_ALIVE_MARGIN_MS = 500;
 /** Time for a body to come. */
 const BODY_TIMEOUT_MS = 30_000;
 /** Time for a caller to read the refusal of a body that is too long, before its connection is cut. */
-const OVERLONG_LINGER_MS = 500;
+const OVERSIZED_BODY_LINGER_MS = 500;
 /** Return time for requests that come before a configuration is known. */
-const UNCONFIGURED_RETRY_MS = 500;
+const UNCONFIGURED_RETRY_AFTER_MS = 500;
 /** Return time for requests that come to a stopping daemon: others are there at once. */
-const STOPPING_RETRY_MS = 50;
+const STOPPING_RETRY_AFTER_MS = 50;
 
 const Status = {
   NotFound: 404,
@@ -85,7 +85,7 @@
     const limits = this.#context.view.configuration?.limits;
     if (!limits) return;
     this.#server.headersTimeout = limits.headerTimeoutMs;
-    this.#server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_SLACK_MS;
+    this.#server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS;
   }
 
   /** From now on answers close their connections. */
@@ -94,7 +94,7 @@
   }
 
   /** Closes connections on which nothing is going on. */
-  closeIdle(): void {
+  closeIdleConnections(): void {
     for (const socket of this.#idleSockets) this.#closeSocket(socket);
   }
 
@@ -144,8 +144,8 @@
     response: ServerResponse,
     arrivedAt: Milliseconds,
   ): Promise<void> {
-    const { dialect, view } = this.#context;
-    const facts = dialect.decodeCallerFacts(
+    const { headerCodec: headerCodec, view } = this.#context;
+    const metadata = headerCodec.decodeRequestMetadata(
       request.headers,
       request.url ?? "/",
     );
@@ -154,7 +154,7 @@
     const exchange = new CallerExchange({
       request,
       response,
-      facts,
+      metadata: metadata,
       body: body ?? Buffer.alloc(0),
       arrivedAt,
       isClosing: () => this.#stop !== undefined,
@@ -162,7 +162,7 @@
     if (body === null) {
       this.#refuse(exchange, Status.TooLarge, "body is too large", undefined);
       // The rest may have no end: it is not read.
-      setTimeout(() => request.destroy(), OVERLONG_LINGER_MS);
+      setTimeout(() => request.destroy(), OVERSIZED_BODY_LINGER_MS);
       return;
     }
     if (!view.configuration) {
@@ -170,30 +170,30 @@
         exchange,
         Status.Unavailable,
         "no configuration is known yet",
-        UNCONFIGURED_RETRY_MS,
+        UNCONFIGURED_RETRY_AFTER_MS,
       );
       return;
     }
-    const route = view.findRoute(facts.hostName, facts.path);
+    const route = view.findRoute(metadata.hostName, metadata.path);
     if (!route) {
       this.#refuse(exchange, Status.NotFound, "no such route", undefined);
       return;
     }
-    const service = view.selectService(route, facts.requestId);
+    const service = view.selectService(route, metadata.requestId);
     if (!service) {
       this.#refuse(
         exchange,
         Status.Unavailable,
         "the route names no service that is known",
-        UNCONFIGURED_RETRY_MS,
+        UNCONFIGURED_RETRY_AFTER_MS,
       );
       return;
     }
     const isTooLate = this.#stop !== undefined &&
       !canAdmitWhileStopping(this.#stop, {
         isGeneration: service.engine !== undefined,
-        promptTokens: facts.promptTokens,
-        outputTokens: facts.outputTokens,
+        promptTokens: metadata.promptTokens,
+        outputTokens: metadata.outputTokens,
         latencyObjectiveMs: route.latencyObjectiveMs,
       }, arrivedAt);
     if (isTooLate) {
@@ -201,13 +201,14 @@
         exchange,
         Status.Unavailable,
         "this daemon stops",
-        STOPPING_RETRY_MS,
+        STOPPING_RETRY_AFTER_MS,
       );
       return;
     }
-    const fingerprint = computeFingerprint(request, facts, body);
+    const fingerprint = computeFingerprint(request, metadata, body);
     const target = { route, service };
-    await new RequestFlow(this.#context, exchange, target, fingerprint).run();
+    await new RequestHandler(this.#context, exchange, target, fingerprint)
+      .run();
   }
 
   #refuse(
@@ -216,39 +217,39 @@
     reason: string,
     retryAfterMs: Milliseconds | undefined,
   ): void {
-    const { log, metrics, dialect, view } = this.#context;
+    const { log, metrics, headerCodec: headerCodec, view } = this.#context;
     metrics.count("refusals", reason);
     log.info("requestDecision", {
-      requestId: exchange.facts.requestId,
+      requestId: exchange.metadata.requestId,
       verdict: "refuse",
       reason,
       status,
-      hostName: exchange.facts.hostName,
-      path: exchange.facts.path,
+      hostName: exchange.metadata.hostName,
+      path: exchange.metadata.path,
       configurationVersion: view.configuration?.version,
     });
-    const headers = dialect.encodeRefusalHeaders(retryAfterMs);
-    exchange.answerText(status, headers, reason);
+    const headers = headerCodec.encodeRefusalHeaders(retryAfterMs);
+    exchange.sendError(status, headers, reason);
   }
 
   /** Returns the body, null when it is too long, or undefined when the caller left. */
   #readBody(request: IncomingMessage): Promise<Buffer | null | undefined> {
     const limit = this.#context.view.configuration?.limits.maxBodyBytes ??
-      DEFAULT_BODY_BYTES;
+      DEFAULT_MAX_BODY_BYTES;
     return new Promise((resolve) => {
-      const pieces: Buffer[] = [];
+      const chunks: Buffer[] = [];
       let length = 0;
-      request.on("data", (piece: Buffer) => {
-        length += piece.length;
+      request.on("data", (chunk: Buffer) => {
+        length += chunk.length;
         if (length <= limit) {
-          pieces.push(piece);
+          chunks.push(chunk);
           return;
         }
         request.pause();
-        pieces.length = 0;
+        chunks.length = 0;
         resolve(null);
       });
-      request.once("end", () => resolve(Buffer.concat(pieces)));
+      request.once("end", () => resolve(Buffer.concat(chunks)));
       request.once("close", () => resolve(undefined));
     });
   }
@@ -257,10 +258,10 @@
 /** Hashes what stays the same when a caller sends a request again. */
 function computeFingerprint(
   request: IncomingMessage,
-  facts: CallerFacts,
+  metadata: RequestMetadata,
   body: Buffer,
 ): string {
   const hash = createHash("sha256");
-  hash.update(`${request.method} ${request.url}\n${facts.stableHeaders}\n`);
+  hash.update(`${request.method} ${request.url}\n${metadata.stableHeaders}\n`);
   return hash.update(body).digest("base64url").slice(0, 22);
 }
--- a/src/gateway/engine_place_finder.ts
+++ b/src/gateway/engine_place_finder.ts
@@ -30,21 +30,21 @@
 import { listUsableUpstreams } from "./usable_upstreams.ts";
 
 /** Time by which another engine must be faster than an adapter's home. */
-const COPY_GAIN_MS = 120;
+const MIN_SPILLOVER_GAIN_MS = 120;
 /** Time from a claim until peers have heard of it and a load is done. */
-const CLAIM_SLACK_MS = 500;
+const CLAIM_PROPAGATION_MS = 500;
 /** Delay before a load that was not done is asked for again. */
-const NOT_READY_DELAY_MS = 60;
+const LOAD_RETRY_DELAY_MS = 60;
 /** Return time for a refusal that no estimate speaks for. */
 const DEFAULT_RETRY_AFTER_MS = 300;
 
 /** A place in an engine's batch, or the right to go there without one. */
-interface EnginePlace {
+interface EngineAssignment {
   engine: PublishedUpstream;
   permitId: string;
 }
 
-export interface EnginePlaceFinderOptions {
+export interface EngineSelectorOptions {
   context: RequestContext;
   exchange: CallerExchange;
   route: PublishedRoute;
@@ -52,107 +52,112 @@
   /** When the request has to be over. */
   endsAt: Milliseconds;
   /** Upstreams that are not to be tried again. */
-  passedOver: ReadonlySet<string>;
+  excludedUpstreamIds: ReadonlySet<string>;
   isFinished: () => boolean;
 }
 
-export class EnginePlaceFinder {
-  readonly #options: EnginePlaceFinderOptions;
+export class EngineSelector {
+  readonly #options: EngineSelectorOptions;
   readonly #context: RequestContext;
   readonly #exchange: CallerExchange;
-  #expectedMs: Milliseconds = DEFAULT_RETRY_AFTER_MS;
-  #place: EnginePlace | undefined;
-  #placeCount = 0;
+  #expectedWaitMs: Milliseconds = DEFAULT_RETRY_AFTER_MS;
+  #assignment: EngineAssignment | undefined;
+  #permitCount = 0;
   /** Whether the request has been counted as demand. */
-  #isCounted = false;
+  #hasRecordedDemand = false;
 
-  constructor(options: EnginePlaceFinderOptions) {
+  constructor(options: EngineSelectorOptions) {
     this.#options = options;
     this.#context = options.context;
     this.#exchange = options.exchange;
   }
 
   /** Questions for a place that were asked so far. */
-  get questions(): number {
-    return this.#placeCount;
+  get permitCount(): number {
+    return this.#permitCount;
   }
 
   /** Time after which a place is expected, for a request that is refused. */
-  get expectedMs(): Milliseconds {
-    return this.#expectedMs;
+  get expectedWaitMs(): Milliseconds {
+    return this.#expectedWaitMs;
   }
 
   /** Version that the request's adapter must have; undefined when none is declared. */
   get adapterVersion(): number | undefined {
-    return this.#exchange.facts.adapter === ""
+    return this.#exchange.metadata.adapter === ""
       ? undefined
       : this.#context.view.getAdapterVersion(this.#getAdapterPath());
   }
 
   /** Finds an engine with a place for the request; the place is released after the attempt. */
-  async findEngine(): Promise<PublishedUpstream | undefined> {
+  async selectEngine(): Promise<PublishedUpstream | undefined> {
     const { view, health, backoff } = this.#context;
-    const { facts } = this.#exchange;
+    const { metadata: metadata } = this.#exchange;
     const serving = view.listServing(this.#options.service.name).filter((
       engine,
-    ) => facts.model === "" || engine.models.includes(facts.model));
+    ) => metadata.model === "" || engine.models.includes(metadata.model));
     const startedAt = performance.now();
     const engines = listUsableUpstreams(this.#context, serving, startedAt);
     if (engines.length === 0) {
-      this.#expectedMs = backoff.getShortestRemainingMs(serving, startedAt) ??
-        DEFAULT_RETRY_AFTER_MS;
+      this.#expectedWaitMs =
+        backoff.getShortestRemainingMs(serving, startedAt) ??
+          DEFAULT_RETRY_AFTER_MS;
       return undefined;
     }
-    const placementKey = facts.adapter === ""
-      ? `${facts.model}|${facts.promptParts[0]?.id ?? facts.requestId}`
+    const placementKey = metadata.adapter === ""
+      ? `${metadata.model}|${metadata.promptParts[0]?.id ?? metadata.requestId}`
       : this.#getAdapterPath();
     this.#recordDemand(placementKey, startedAt);
     const ranked = rankEngines(
       placementKey,
       engines,
-      this.#describeDemand(placementKey, startedAt),
+      this.#computeDemand(placementKey, startedAt),
       health,
       startedAt,
     );
-    const fresh = ranked.filter((each) =>
-      !this.#options.passedOver.has(each.id)
+    const untried = ranked.filter((each) =>
+      !this.#options.excludedUpstreamIds.has(each.id)
     );
-    const candidates = (fresh.length > 0 ? fresh : ranked)
+    const candidates = (untried.length > 0 ? untried : ranked)
       .filter((engine) => this.#context.engines.hasHolder(engine.id))
       .slice(0, MAX_ADAPTER_REPLICAS);
-    let shortest: { engine: PublishedUpstream; ms: Milliseconds } | undefined;
+    let shortestWait:
+      | { engine: PublishedUpstream; ms: Milliseconds }
+      | undefined;
     for (const engine of candidates) {
-      const { answer, grantorId } = await this.#askPlace(engine, false);
-      if (this.#takeAnswer(engine, answer, grantorId)) return engine;
+      const { answer, grantorId } = await this.#requestPermit(engine, false);
+      if (this.#applyPermitAnswer(engine, answer, grantorId)) return engine;
       if (this.#options.isFinished() || answer.kind !== "denied") {
         return undefined;
       }
       if (answer.reason === DenialReason.Overdue) return undefined;
       if (answer.reason === DenialReason.NotOwner) continue;
       // Each copy of an adapter costs a load: the home is left only for a clear gain.
-      const isClearlyShorter = !shortest ||
-        answer.retryAfterMs < shortest.ms - COPY_GAIN_MS;
+      const isClearlyShorter = !shortestWait ||
+        answer.retryAfterMs < shortestWait.ms - MIN_SPILLOVER_GAIN_MS;
       if (isClearlyShorter) {
-        shortest = { engine, ms: answer.retryAfterMs };
+        shortestWait = { engine, ms: answer.retryAfterMs };
       }
     }
     if (candidates.length === 0) {
-      this.#expectedMs = this.#context.engines.estimateClaimMs() +
-        CLAIM_SLACK_MS;
+      this.#expectedWaitMs = this.#context.engines.estimateClaimMs() +
+        CLAIM_PROPAGATION_MS;
     }
-    if (!shortest) {
-      return this.#assignWithoutPermit(this.#findResident(ranked));
+    if (!shortestWait) {
+      return this.#assignWithoutPermit(this.#findEngineWithAdapter(ranked));
     }
-    const { engine } = shortest;
-    const { answer, grantorId } = await this.#askPlace(engine, true);
-    return this.#takeAnswer(engine, answer, grantorId) ? engine : undefined;
+    const { engine } = shortestWait;
+    const { answer, grantorId } = await this.#requestPermit(engine, true);
+    return this.#applyPermitAnswer(engine, answer, grantorId)
+      ? engine
+      : undefined;
   }
 
   /** Counts the request as demand, once. */
   #recordDemand(placementKey: string, now: Milliseconds): void {
-    if (this.#isCounted) return;
-    this.#isCounted = true;
-    const { promptTokens, promptParts } = this.#exchange.facts;
+    if (this.#hasRecordedDemand) return;
+    this.#hasRecordedDemand = true;
+    const { promptTokens, promptParts } = this.#exchange.metadata;
     const sharedTokens = promptParts.slice(0, -1)
       .reduce((sum, part) => sum + part.tokens, 0);
     this.#context.demand.recordRequest({
@@ -162,7 +167,7 @@
   }
 
   /** Returns how much is asked for in this failure domain, whose callers come to its hosts alike. */
-  #describeDemand(placementKey: string, now: Milliseconds): DomainDemand {
+  #computeDemand(placementKey: string, now: Milliseconds): DomainDemand {
     const { demand, engines, failureDomain, fleet } = this.#context;
     const rate = demand.getRate(placementKey, now);
     const hosts = fleet.countLivingIn(failureDomain, now);
@@ -170,8 +175,8 @@
       failureDomain,
       concurrentRuns: hosts * rate.requestsPerMs * engines.permits.meanRunMs,
       prefillLoad: hosts * rate.tokensPerMs / DEFAULT_PREFILL_TOKENS_PER_MS,
-      isLoadNeeded: this.#exchange.facts.adapter !== "",
-      spreadKey: this.#exchange.facts.requestId,
+      isLoadNeeded: this.#exchange.metadata.adapter !== "",
+      spreadKey: this.#exchange.metadata.requestId,
     };
   }
 
@@ -180,8 +185,9 @@
     engine: PublishedUpstream | undefined,
   ): PublishedUpstream | undefined {
     if (!engine || this.#options.isFinished()) return undefined;
-    this.#placeCount += 1;
-    const permitId = `${this.#exchange.facts.requestId}.${this.#placeCount}`;
+    this.#permitCount += 1;
+    const permitId =
+      `${this.#exchange.metadata.requestId}.${this.#permitCount}`;
     this.#addRun(engine, permitId, undefined);
     return engine;
   }
@@ -189,44 +195,45 @@
   #addRun(
     engine: PublishedUpstream,
     permitId: string,
-    knownTo: string | undefined,
+    reportedTo: string | undefined,
   ): void {
-    const { facts } = this.#exchange;
-    this.#place = { engine, permitId };
+    const { metadata: metadata } = this.#exchange;
+    this.#assignment = { engine, permitId };
     this.#context.engines.permits.addRun({
       engineId: engine.id,
       permitId,
-      knownTo,
+      reportedTo: reportedTo,
       adapterPath: this.#getAdapterPath(),
-      promptTokens: facts.promptTokens,
-      outputTokens: facts.outputTokens,
-      promptParts: facts.promptParts,
+      promptTokens: metadata.promptTokens,
+      outputTokens: metadata.outputTokens,
+      promptParts: metadata.promptParts,
       startedAt: performance.now(),
       endsAt: this.#options.endsAt,
     });
   }
 
   /** Without a holder to ask, goes where the adapter is said to be resident. */
-  #findResident(
+  #findEngineWithAdapter(
     ranked: readonly PublishedUpstream[],
   ): PublishedUpstream | undefined {
-    const { facts } = this.#exchange;
+    const { metadata: metadata } = this.#exchange;
     const path = this.#getAdapterPath();
     const version = this.adapterVersion;
     return ranked.find((engine) => {
-      if (this.#options.passedOver.has(engine.id)) return false;
-      if (facts.adapter === "") return true;
-      const held = engine.adapters.get(path);
-      return held !== undefined && (version === undefined || held >= version);
+      if (this.#options.excludedUpstreamIds.has(engine.id)) return false;
+      if (metadata.adapter === "") return true;
+      const residentVersion = engine.adapters.get(path);
+      return residentVersion !== undefined &&
+        (version === undefined || residentVersion >= version);
     });
   }
 
-  #askPlace(
+  #requestPermit(
     engine: PublishedUpstream,
     isLastChoice: boolean,
   ): Promise<PermitReply> {
     const { selfId, engines } = this.#context;
-    const { facts } = this.#exchange;
+    const { metadata: metadata } = this.#exchange;
     const { latencyObjectiveMs, pauseObjectiveMs, priorityRank } =
       this.#options.route;
     const remainingMs = Math.max(1, this.#options.endsAt - performance.now());
@@ -238,18 +245,18 @@
       elapsedMs,
       remainingMs,
     });
-    this.#placeCount += 1;
-    return engines.permits.askPermit(engine, {
-      permitId: `${facts.requestId}.${this.#placeCount}`,
+    this.#permitCount += 1;
+    return engines.permits.requestPermit(engine, {
+      permitId: `${metadata.requestId}.${this.#permitCount}`,
       holder: selfId,
-      model: facts.model,
-      adapter: facts.adapter,
+      model: metadata.model,
+      adapter: metadata.adapter,
       adapterPath: this.#getAdapterPath(),
       version: this.adapterVersion,
       priorityRank,
-      promptTokens: facts.promptTokens,
-      outputTokens: facts.outputTokens,
-      promptParts: facts.promptParts,
+      promptTokens: metadata.promptTokens,
+      outputTokens: metadata.outputTokens,
+      promptParts: metadata.promptParts,
       patienceMs,
       firstTokenBudgetMs,
       lifetimeMs: remainingMs,
@@ -258,7 +265,7 @@
   }
 
   /** Returns whether the answer grants a place that is still wanted. */
-  #takeAnswer(
+  #applyPermitAnswer(
     engine: PublishedUpstream,
     answer: PermitAnswer,
     grantorId: string,
@@ -268,9 +275,9 @@
         this.#addRun(engine, answer.permitId, grantorId);
         return true;
       case "denied":
-        this.#expectedMs = answer.retryAfterMs;
+        this.#expectedWaitMs = answer.retryAfterMs;
         this.#context.log.info("placeDenied", {
-          requestId: this.#exchange.facts.requestId,
+          requestId: this.#exchange.metadata.requestId,
           upstream: engine.id,
           grantor: grantorId,
           reason: answer.reason,
@@ -281,21 +288,21 @@
   }
 
   /** Gives the place back after its attempt. */
-  releasePlace(result?: AttemptResult): void {
-    const place = this.#place;
-    this.#place = undefined;
+  releaseEngine(result?: AttemptResult): void {
+    const place = this.#assignment;
+    this.#assignment = undefined;
     if (!place) return;
     const isUnusable = result?.outcome === AttemptOutcome.NotRun;
     const backoffMs = this.#context.backoff
       .getRemainingMs(place.engine, performance.now());
-    this.#context.engines.permits.notifyHolder(
+    this.#context.engines.permits.notifyOwner(
       isUnusable
         ? {
           kind: "permitUnusable",
           engineId: place.engine.id,
           permitId: place.permitId,
-          isMisdirected: result.notRun === NotRunReason.Misdirected,
-          delayMs: NOT_READY_DELAY_MS,
+          isMisdirected: result.notRunReason === NotRunReason.Misdirected,
+          delayMs: LOAD_RETRY_DELAY_MS,
           backoffMs,
         }
         : {
@@ -308,16 +315,16 @@
 
   /** Tells the holder that the engine has read the prompt. */
   notifyFirstToken(): void {
-    if (!this.#place) return;
-    this.#context.engines.permits.notifyHolder({
+    if (!this.#assignment) return;
+    this.#context.engines.permits.notifyOwner({
       kind: "firstToken",
-      engineId: this.#place.engine.id,
-      permitId: this.#place.permitId,
+      engineId: this.#assignment.engine.id,
+      permitId: this.#assignment.permitId,
     });
   }
 
   #getAdapterPath(): string {
-    const { model, adapter } = this.#exchange.facts;
+    const { model, adapter } = this.#exchange.metadata;
     return formatAdapterPath(model, adapter);
   }
 }
--- a/src/gateway/engine_task.ts
+++ b/src/gateway/engine_task.ts
@@ -22,7 +22,7 @@
 import type { PublishedView } from "../core/view/published_view.ts";
 import { describeStep } from "../daemon/step_error.ts";
 import type { DecisionLog } from "./decision_log.ts";
-import { FetchPacer } from "./fetch_pacer.ts";
+import { FetchLimiter } from "./fetch_pacer.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
 import { PermitClient } from "./permit_client.ts";
@@ -65,7 +65,7 @@
   readonly permits: PermitClient;
   readonly #pauses = new PauseDetector(performance.now(), Date.now());
   readonly #activeEngines = new Set<string>();
-  readonly #fetches: FetchPacer;
+  readonly #fetches: FetchLimiter;
   #lastRolesAt = Number.NEGATIVE_INFINITY;
   readonly #roles: HolderRoles;
   #isStopping = false;
@@ -74,7 +74,7 @@
 
   constructor(options: EngineTaskOptions) {
     this.#options = options;
-    this.#fetches = new FetchPacer(options);
+    this.#fetches = new FetchLimiter(options);
     this.#roles = new HolderRoles({
       fleet: options.fleet,
       seedIps: options.seedIps,
@@ -84,9 +84,9 @@
       selfId: options.selfId,
       termMs: options.termMs,
       fleet: options.fleet,
-      isHeldHere: (engineId) => this.#getHeld(engineId) !== undefined,
+      isOwnedLocally: (engineId) => this.#getHeld(engineId) !== undefined,
       isStopping: () => this.#isStopping,
-      listHolders: (now) => this.#listHolders(now),
+      listOwners: (now) => this.#listHolders(now),
       send: (peerId, message) => this.#send(peerId, message),
       sendOnce: (peerId, message) => {
         if (peerId === options.selfId) this.handleMessage(peerId, message);
@@ -120,7 +120,7 @@
 
   /** Loads from the weight store that go at full speed together, as found here; undefined before any was seen. */
   getFullSpeedFetches(): number | undefined {
-    return this.#fetches.found;
+    return this.#fetches.measuredLimit;
   }
 
   describe(): object {
@@ -140,7 +140,7 @@
     const isKnown = this.#getHeld(engineId) !== undefined ||
       fleet.findHolder(engineId, now) !== undefined;
     return isKnown ||
-      (!fleet.isFullMesh() && !this.permits.isUnheld(engineId, now));
+      (!fleet.isFullMesh() && !this.permits.isUnowned(engineId, now));
   }
 
   /** Returns the time until engines without a holder may be claimed, as far as is known here. */
@@ -192,7 +192,7 @@
 
   /** Tells new holders of the runs here, as soon as a peer says that it is one. */
   followHolders(now: Milliseconds): void {
-    this.permits.notifyHolders(now);
+    this.permits.reportRunsToNewOwners(now);
   }
 
   /** Hands every engine over to the daemon that should hold it next. */
@@ -243,8 +243,8 @@
     const now = performance.now();
     this.#tickAt = Number.POSITIVE_INFINITY;
     this.#checkPause(now);
-    this.permits.returnUndelivered(now);
-    this.permits.notifyHolders(now);
+    this.permits.retryUndeliveredReturns(now);
+    this.permits.reportRunsToNewOwners(now);
     this.#updateRoles(now);
     for (const engineId of this.#activeEngines) {
       const holder = this.#holders.get(engineId);
@@ -269,7 +269,7 @@
     if (now - this.#lastRolesAt < ROLES_INTERVAL_MS) return;
     this.#lastRolesAt = now;
     this.#followView();
-    this.#fetches.followPeers(now);
+    this.#fetches.recordPeerLimits(now);
     this.#activeEngines.clear();
     const fetchShare = this.#computeFetchShare(now);
     for (const holder of this.#holders.values()) {
@@ -288,7 +288,7 @@
     const { view, termMs, fences } = this.#options;
     const engines = view.listEngines();
     const ids = new Set(engines.map((engine) => engine.id));
-    this.#fetches.setEngines(engines.length);
+    this.#fetches.setEngineCount(engines.length);
     for (const id of this.#holders.keys()) {
       if (!ids.has(id)) this.#holders.delete(id);
     }
@@ -419,7 +419,7 @@
   #pump(engineId: string, now: Milliseconds): void {
     const holder = this.#getHeld(engineId);
     if (!holder) return;
-    this.#fetches.followLoads(holder, now);
+    this.#fetches.recordLoads(holder, now);
     this.#carryOut(holder.pump(this.#describeSituation(holder, now), now));
     this.#scheduleTick(holder.getNextDueAt());
   }
--- a/src/gateway/fetch_pacer.ts
+++ b/src/gateway/fetch_pacer.ts
@@ -12,35 +12,35 @@
 import type { DecisionLog } from "./decision_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 
-export interface FetchPacerOptions {
+export interface FetchLimiterOptions {
   fleet: FleetView;
   log: DecisionLog;
   metrics: GatewayMetrics;
 }
 
-export class FetchPacer {
-  readonly #options: FetchPacerOptions;
+export class FetchLimiter {
+  readonly #options: FetchLimiterOptions;
   readonly #window = new FetchConcurrencyLimit();
   #engineCount = 0;
-  #toldFullSpeed = 0;
+  #reportedLimit = 0;
 
-  constructor(options: FetchPacerOptions) {
+  constructor(options: FetchLimiterOptions) {
     this.#options = options;
   }
 
   /** Loads that go at full speed together, as found here; undefined before any was seen. */
-  get found(): number | undefined {
+  get measuredLimit(): number | undefined {
     return this.#window.measuredLimit;
   }
 
   /** Sets the number of engines, over all daemons. */
-  setEngines(engines: number): void {
+  setEngineCount(engines: number): void {
     this.#engineCount = engines;
     this.#window.setEngineCount(engines);
   }
 
   /** Takes in what the other daemons have found. */
-  followPeers(now: Milliseconds): void {
+  recordPeerLimits(now: Milliseconds): void {
     const { fleet } = this.#options;
     this.#window.recordPeerLimits(fleet.listFullSpeedFetches(now));
   }
@@ -51,28 +51,28 @@
     now: Milliseconds,
   ): FetchShare {
     const { fleet } = this.#options;
-    const living = fleet.countLiving(now);
-    const holders = Math.max(1, Math.min(living, this.#engineCount));
+    const aliveDaemons = fleet.countLiving(now);
+    const owners = Math.max(1, Math.min(aliveDaemons, this.#engineCount));
     return this.#window.computeShare({
       ownFetches: own.fetches,
       peerFetches: fleet.isFullMesh() ? fleet.countFetches(now) : undefined,
       engineShare: Math.max(1, own.heldEngines) /
-        Math.max(this.#engineCount, holders),
-      owners: holders,
+        Math.max(this.#engineCount, owners),
+      owners: owners,
     });
   }
 
   /** Learns from the loads that a holder has seen done, or late. */
-  followLoads(holder: EngineHolder, now: Milliseconds): void {
-    for (const observation of holder.desk.slots.takeObservations()) {
+  recordLoads(owner: EngineHolder, now: Milliseconds): void {
+    for (const observation of owner.desk.slots.takeObservations()) {
       this.#window.recordFetch(observation, now);
     }
     const fullSpeed = Math.round(this.#window.limit);
-    if (fullSpeed === this.#toldFullSpeed) return;
-    this.#toldFullSpeed = fullSpeed;
+    if (fullSpeed === this.#reportedLimit) return;
+    this.#reportedLimit = fullSpeed;
     this.#options.metrics.setGauge("full_speed_fetches", fullSpeed);
     this.#options.log.debug("fullSpeedFetchesChanged", {
-      upstream: holder.engineId,
+      upstream: owner.engineId,
       fullSpeed,
     });
   }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -26,7 +26,7 @@
 import type {
   ChangeDecoder,
   EngineControl,
-  PlatformDialect,
+  HeaderCodec,
   PublishedStore,
 } from "./ports.ts";
 import type { RequestContext } from "./request_context.ts";
@@ -56,7 +56,7 @@
 const DRAIN_CHECK_MS = 50;
 
 export interface GatewayAdapters {
-  dialect: PlatformDialect;
+  dialect: HeaderCodec;
   decoder: ChangeDecoder;
   createStore: (address: string) => PublishedStore;
   createEngineControl: () => EngineControl;
@@ -80,7 +80,7 @@
   readonly #upstreams = new UpstreamClient();
   readonly #callers: CallerTask;
   readonly #incarnation = randomBytes(6).toString("hex");
-  readonly #dialect: PlatformDialect;
+  readonly #dialect: HeaderCodec;
   #readiness: Server | undefined;
   #timer: ReturnType<typeof setTimeout> | undefined;
   readonly #startedAt = performance.now();
@@ -140,18 +140,18 @@
     const context: RequestContext = {
       selfId: host,
       failureDomain,
-      dialect: adapters.dialect,
+      headerCodec: adapters.dialect,
       view: this.#view,
       fleet: this.#fleet,
       health: this.#health,
       backoff: new UpstreamBackoff(),
       reachability: new DomainReachability(),
       demand: new AdapterDemand(),
-      answerMemory: new AnswerMemory({
+      responseMemory: new AnswerMemory({
         freeBytes: FREE_ANSWER_BYTES,
         sharedBytes: SHARED_ANSWER_BYTES,
       }),
-      allowance: new RepeatAllowance(settings.repeats),
+      retryBudget: new RepeatAllowance(settings.repeats),
       quarantine: this.#quarantine,
       serviceLoads: new Map(),
       upstreams: this.#upstreams,
@@ -193,7 +193,7 @@
     await waitMs(Math.min(UNREADY_NOTICE_MS, graceMs / 2));
     const endsAt = startedAt + graceMs - exitReserveMs;
     while (performance.now() < endsAt) {
-      this.#callers.closeIdle();
+      this.#callers.closeIdleConnections();
       if (this.#callers.inFlight === 0) break;
       await waitMs(DRAIN_CHECK_MS);
     }
--- a/src/gateway/http_exchange.ts
+++ b/src/gateway/http_exchange.ts
@@ -5,7 +5,7 @@
 import { StepError } from "../daemon/step_error.ts";
 import type { Milliseconds } from "../core/structures.ts";
 
-export interface ExchangeOptions {
+export interface HttpRequestOptions {
   /** Names the call in errors. */
   step: string;
   /** `IP:port`. */
@@ -21,14 +21,14 @@
   agent: Agent;
 }
 
-export interface ExchangeAnswer {
+export interface HttpResponse {
   status: number;
   headers: IncomingHttpHeaders;
   body: Buffer;
 }
 
 /** An exchange that failed: `hasBeenSent` tells whether the peer may have read it. */
-export class ExchangeError extends StepError {
+export class HttpRequestError extends StepError {
   readonly hasBeenSent: boolean;
 
   constructor(
@@ -43,11 +43,13 @@
 }
 
 /** Longest answer that is read by default: a page of the store is a megabyte, base64 within JSON a third more. */
-const MAX_ANSWER_BYTES = 8 * 1024 * 1024;
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
 /** Makes one call and reads the whole answer. */
-export function callPeer(options: ExchangeOptions): Promise<ExchangeAnswer> {
-  const { step, address, timeoutMs, maxAnswerBytes = MAX_ANSWER_BYTES } =
+export function sendHttpRequest(
+  options: HttpRequestOptions,
+): Promise<HttpResponse> {
+  const { step, address, timeoutMs, maxAnswerBytes = MAX_RESPONSE_BYTES } =
     options;
   return new Promise((resolve, reject) => {
     let hasConnected = false;
@@ -58,32 +60,32 @@
       headers: options.headers ?? {},
       agent: options.agent,
     });
-    const abandon = (detail: string): void => {
+    const fail = (detail: string): void => {
       clearTimeout(timer);
       call.destroy();
-      reject(new ExchangeError(step, address, detail, hasConnected));
+      reject(new HttpRequestError(step, address, detail, hasConnected));
     };
     const timer = setTimeout(
-      () => abandon(`no answer within ${timeoutMs} ms`),
+      () => fail(`no answer within ${timeoutMs} ms`),
       timeoutMs,
     );
     call.on("socket", (socket) => {
       if (!socket.connecting) hasConnected = true;
       else socket.once("connect", () => hasConnected = true);
     });
-    call.on("error", (error) => abandon(error.message));
+    call.on("error", (error) => fail(error.message));
     call.on("response", (response) => {
       const chunks: Buffer[] = [];
       let length = 0;
       response.on("data", (chunk: Buffer) => {
         length += chunk.length;
-        if (length > maxAnswerBytes) abandon("answer is too long");
+        if (length > maxAnswerBytes) fail("answer is too long");
         else chunks.push(chunk);
       });
-      response.on("error", (error) => abandon(error.message));
+      response.on("error", (error) => fail(error.message));
       response.on("end", () => {
         clearTimeout(timer);
-        if (!response.complete) return abandon("answer was cut short");
+        if (!response.complete) return fail("answer was cut short");
         resolve({
           status: response.statusCode ?? 0,
           headers: response.headers,
--- a/src/gateway/permit_client.ts
+++ b/src/gateway/permit_client.ts
@@ -17,11 +17,11 @@
 import type { GatewayMessage } from "./peer_messages.ts";
 
 /** Period in which returns that did not reach a holder are looked at. */
-const RETURNS_INTERVAL_MS = 200;
+const RETURN_RETRY_INTERVAL_MS = 200;
 /** Runs told in one message, so that it stays one datagram. */
 const MAX_RUNS_PER_MESSAGE = 6;
 /** Added to a permit's patience for the way there and back. */
-const ANSWER_SLACK_MS = 150;
+const ROUND_TRIP_MARGIN_MS = 150;
 
 /** The answer to a permit request, and the daemon that gave it. */
 export interface PermitReply {
@@ -30,16 +30,16 @@
 }
 
 /** A run of this daemon at an engine, and the holder that knows of it. */
-export interface OwnRun extends BatchDemand {
+export interface DispatchedRun extends BatchDemand {
   startedAt: Milliseconds;
   engineId: string;
   permitId: string;
   endsAt: Milliseconds;
-  knownTo: string | undefined;
+  reportedTo: string | undefined;
 }
 
 /** What gives a permit back. */
-type ReturnMessage = Extract<
+type PermitReturnMessage = Extract<
   GatewayMessage,
   { kind: "permitReleased" | "permitUnusable" }
 >;
@@ -53,10 +53,10 @@
   termMs: Milliseconds;
   fleet: FleetView;
   /** Whether this daemon gives the engine's orders. */
-  isHeldHere: (engineId: string) => boolean;
+  isOwnedLocally: (engineId: string) => boolean;
   isStopping: () => boolean;
   /** Who gives each engine's orders, as far as is known; this daemon included. */
-  listHolders: (now: Milliseconds) => ReadonlyMap<string, string>;
+  listOwners: (now: Milliseconds) => ReadonlyMap<string, string>;
   /** Sends until the receiver acknowledges; resolves to false when it does not. */
   send: (peerId: string, message: GatewayMessage) => Promise<boolean>;
   /** Sends what may be lost. */
@@ -66,57 +66,60 @@
 export class PermitClient {
   readonly #options: PermitClientOptions;
   readonly #pendingPermits = new Map<string, PendingPermit>();
-  readonly #ownRuns = new Map<string, OwnRun>();
-  readonly #toldHolders = new ToldHolders();
-  readonly #returns = new PermitReleaseRetryQueue<ReturnMessage>();
+  readonly #dispatchedRuns = new Map<string, DispatchedRun>();
+  readonly #ownerHints = new ToldHolders();
+  readonly #undeliveredReturns = new PermitReleaseRetryQueue<
+    PermitReturnMessage
+  >();
   /** Holders that have been told of the runs here, by engine. */
-  readonly #informed = new Map<string, string>();
-  #lastReturnsAt = Number.NEGATIVE_INFINITY;
-  readonly #pace = new RunEstimator();
+  readonly #notifiedOwners = new Map<string, string>();
+  #lastReturnRetryAt = Number.NEGATIVE_INFINITY;
+  readonly #runEstimator = new RunEstimator();
 
   constructor(options: PermitClientOptions) {
     this.#options = options;
   }
 
   /** Asks the engine's holder for a place, and whom it names where it is not the holder; always resolves. */
-  async askPermit(
+  async requestPermit(
     engine: PublishedUpstream,
     request: PermitRequest,
   ): Promise<PermitReply> {
-    const asked = this.#findHolder(engine);
-    const reply = await this.#askDaemon(asked, engine, request);
+    const ownerId = this.#findOwner(engine);
+    const reply = await this.#sendPermitRequest(ownerId, engine, request);
     const { answer } = reply;
     const isElsewhere = answer.kind === "denied" &&
       answer.reason === DenialReason.NotOwner;
     if (!isElsewhere) return reply;
-    this.#toldHolders.forget(engine.id);
+    this.#ownerHints.forget(engine.id);
     const { knownHolder } = answer;
-    if (knownHolder === undefined || knownHolder === asked) {
-      this.#toldHolders.recordUnheld(engine.id, performance.now());
+    if (knownHolder === undefined || knownHolder === ownerId) {
+      this.#ownerHints.recordUnheld(engine.id, performance.now());
       return reply;
     }
-    this.#toldHolders.record(engine.id, knownHolder, performance.now());
-    return await this.#askDaemon(knownHolder, engine, request);
+    this.#ownerHints.record(engine.id, knownHolder, performance.now());
+    return await this.#sendPermitRequest(knownHolder, engine, request);
   }
 
   /** Returns whether nobody held the engine when it was last asked for, a moment ago. */
-  isUnheld(engineId: string, now: Milliseconds): boolean {
-    return this.#toldHolders.isUnheld(engineId, now);
+  isUnowned(engineId: string, now: Milliseconds): boolean {
+    return this.#ownerHints.isUnheld(engineId, now);
   }
 
   /** Returns who holds the engine: by its own word, by that of one who was asked, or by rank. */
-  #findHolder(engine: PublishedUpstream): string | undefined {
-    const { fleet, selfId, isHeldHere, isStopping } = this.#options;
+  #findOwner(engine: PublishedUpstream): string | undefined {
+    const { fleet, selfId, isOwnedLocally: isOwnedLocally, isStopping } =
+      this.#options;
     const now = performance.now();
-    if (isHeldHere(engine.id)) return selfId;
-    const told = this.#toldHolders.find(engine.id, now);
+    if (isOwnedLocally(engine.id)) return selfId;
+    const told = this.#ownerHints.find(engine.id, now);
     if (told !== undefined && fleet.isLiving(told, now)) return told;
     return fleet.findHolder(engine.id, now) ??
       fleet.rankHolders(engine, isStopping(), now)[0]?.id;
   }
 
-  async #askDaemon(
-    holderId: string | undefined,
+  async #sendPermitRequest(
+    ownerId: string | undefined,
     engine: PublishedUpstream,
     request: PermitRequest,
   ): Promise<PermitReply> {
@@ -128,9 +131,9 @@
         reason,
         retryAfterMs: this.#options.termMs,
       },
-      grantorId: holderId ?? "",
+      grantorId: ownerId ?? "",
     });
-    if (holderId === undefined) return createDenial(DenialReason.NotOwner);
+    if (ownerId === undefined) return createDenial(DenialReason.NotOwner);
     return await new Promise<PermitReply>((resolve) => {
       const key = formatPermitKey(engine.id, request.permitId);
       const settle = (reply: PermitReply): void => {
@@ -140,10 +143,10 @@
       };
       const timer = setTimeout(
         () => settle(createDenial(DenialReason.Overdue)),
-        request.patienceMs + ANSWER_SLACK_MS,
+        request.patienceMs + ROUND_TRIP_MARGIN_MS,
       );
       this.#pendingPermits.set(key, { settle });
-      void this.#options.send(holderId, {
+      void this.#options.send(ownerId, {
         kind: "permitRequest",
         engineId: engine.id,
         request,
@@ -155,36 +158,36 @@
 
   /** Mean duration of this daemon's runs, from place to end. */
   get meanRunMs(): Milliseconds {
-    return this.#pace.meanRunMs;
+    return this.#runEstimator.meanRunMs;
   }
 
   /** Notes a run of this daemon at an engine, so that a new holder can be told. */
-  addRun(run: OwnRun): void {
-    this.#ownRuns.set(run.permitId, run);
+  addRun(run: DispatchedRun): void {
+    this.#dispatchedRuns.set(run.permitId, run);
   }
 
   /** Tells the daemon that counts a run of this one something about it. */
-  notifyHolder(
+  notifyOwner(
     message: Extract<
       GatewayMessage,
       { kind: "permitReleased" | "firstToken" | "permitUnusable" }
     >,
   ): void {
-    const run = this.#ownRuns.get(message.permitId);
+    const run = this.#dispatchedRuns.get(message.permitId);
     const { sendOnce } = this.#options;
     switch (message.kind) {
       case "firstToken":
         // Lost ones are made up for: the holder takes a prompt for read after a while.
-        if (run?.knownTo !== undefined) sendOnce(run.knownTo, message);
+        if (run?.reportedTo !== undefined) sendOnce(run.reportedTo, message);
         break;
       case "permitReleased":
       case "permitUnusable":
-        this.#ownRuns.delete(message.permitId);
+        this.#dispatchedRuns.delete(message.permitId);
         if (run && message.kind === "permitReleased") {
-          this.#pace.recordRun(performance.now() - run.startedAt);
+          this.#runEstimator.recordRun(performance.now() - run.startedAt);
         }
-        if (run?.knownTo !== undefined) {
-          this.#returnPermit(message, run.knownTo, run.endsAt);
+        if (run?.reportedTo !== undefined) {
+          this.#returnPermit(message, run.reportedTo, run.endsAt);
         }
         break;
     }
@@ -192,14 +195,14 @@
 
   /** Tells the holder that a run is over, again once it is heard where it could not be reached. */
   #returnPermit(
-    message: ReturnMessage,
-    holderId: string,
+    message: PermitReturnMessage,
+    ownerId: string,
     expiresAt: Milliseconds,
   ): void {
-    void this.#options.send(holderId, message).then((isDelivered) => {
+    void this.#options.send(ownerId, message).then((isDelivered) => {
       const now = performance.now();
-      this.#returns.recordSend(
-        { message, ownerId: holderId, expiresAt },
+      this.#undeliveredReturns.recordSend(
+        { message, ownerId: ownerId, expiresAt },
         isDelivered,
         now,
       );
@@ -207,53 +210,53 @@
   }
 
   /** Gives back to holders what did not reach them. */
-  returnUndelivered(now: Milliseconds): void {
-    if (now - this.#lastReturnsAt < RETURNS_INTERVAL_MS) return;
-    this.#lastReturnsAt = now;
+  retryUndeliveredReturns(now: Milliseconds): void {
+    if (now - this.#lastReturnRetryAt < RETURN_RETRY_INTERVAL_MS) return;
+    this.#lastReturnRetryAt = now;
     const isLiving = (id: string) => this.#options.fleet.isLiving(id, now);
-    for (const due of this.#returns.takeDue(isLiving, now)) {
+    for (const due of this.#undeliveredReturns.takeDue(isLiving, now)) {
       this.#returnPermit(due.message, due.ownerId, due.expiresAt);
     }
   }
 
   /** Tells each new holder of an engine all runs that this daemon has there, also that it has none. */
-  notifyHolders(now: Milliseconds): void {
-    const holders = this.#options.listHolders(now);
-    for (const [engineId, holderId] of holders) {
-      if (this.#informed.get(engineId) === holderId) continue;
-      this.#informed.set(engineId, holderId);
-      const runs = [...this.#ownRuns.values()].filter((run) =>
+  reportRunsToNewOwners(now: Milliseconds): void {
+    const owners = this.#options.listOwners(now);
+    for (const [engineId, ownerId] of owners) {
+      if (this.#notifiedOwners.get(engineId) === ownerId) continue;
+      this.#notifiedOwners.set(engineId, ownerId);
+      const runs = [...this.#dispatchedRuns.values()].filter((run) =>
         run.engineId === engineId
       );
-      for (const run of runs) run.knownTo = holderId;
-      this.#sendRuns(holderId, engineId, runs, now);
+      for (const run of runs) run.reportedTo = ownerId;
+      this.#sendRuns(ownerId, engineId, runs, now);
     }
-    for (const engineId of this.#informed.keys()) {
-      if (!holders.has(engineId)) this.#informed.delete(engineId);
+    for (const engineId of this.#notifiedOwners.keys()) {
+      if (!owners.has(engineId)) this.#notifiedOwners.delete(engineId);
     }
-    this.#notifyUnpermitted(holders, now);
+    this.#reportUnpermittedRuns(owners, now);
   }
 
   /** Tells holders of the runs that went without a permit since. */
-  #notifyUnpermitted(
-    holders: ReadonlyMap<string, string>,
+  #reportUnpermittedRuns(
+    owners: ReadonlyMap<string, string>,
     now: Milliseconds,
   ): void {
-    for (const run of this.#ownRuns.values()) {
-      const holderId = holders.get(run.engineId);
-      if (run.knownTo !== undefined || holderId === undefined) continue;
-      run.knownTo = holderId;
-      this.#sendRuns(holderId, run.engineId, [run], now);
+    for (const run of this.#dispatchedRuns.values()) {
+      const ownerId = owners.get(run.engineId);
+      if (run.reportedTo !== undefined || ownerId === undefined) continue;
+      run.reportedTo = ownerId;
+      this.#sendRuns(ownerId, run.engineId, [run], now);
     }
   }
 
   #sendRuns(
-    holderId: string,
+    ownerId: string,
     engineId: string,
-    runs: readonly OwnRun[],
+    runs: readonly DispatchedRun[],
     now: Milliseconds,
   ): void {
-    const described = runs.map((run) => ({
+    const reportedRuns = runs.map((run) => ({
       permitId: run.permitId,
       adapterPath: run.adapterPath,
       promptTokens: run.promptTokens,
@@ -262,13 +265,16 @@
       lifetimeMs: Math.max(0, run.endsAt - now),
     }));
     // A daemon without runs says so, too.
-    const messages = Math.max(1, Math.ceil(runs.length / MAX_RUNS_PER_MESSAGE));
-    for (let index = 0; index < messages; index += 1) {
+    const messageCount = Math.max(
+      1,
+      Math.ceil(runs.length / MAX_RUNS_PER_MESSAGE),
+    );
+    for (let index = 0; index < messageCount; index += 1) {
       const from = index * MAX_RUNS_PER_MESSAGE;
-      void this.#options.send(holderId, {
+      void this.#options.send(ownerId, {
         kind: "runsHeld",
         engineId,
-        runs: described.slice(from, from + MAX_RUNS_PER_MESSAGE),
+        runs: reportedRuns.slice(from, from + MAX_RUNS_PER_MESSAGE),
         total: runs.length,
       });
     }
--- a/src/gateway/ports.ts
+++ b/src/gateway/ports.ts
@@ -18,7 +18,7 @@
 }
 
 /** What a caller's request says of itself. */
-export interface CallerFacts {
+export interface RequestMetadata {
   /** Empty when the caller sent none. */
   requestId: string;
   hostName: string;
@@ -40,7 +40,7 @@
 }
 
 /** What this attempt at an upstream adds to a caller's request. */
-export interface AttemptFacts {
+export interface AttemptMetadata {
   /** The upstream that alone may run it. */
   upstreamId: string;
   /** Time left, at which the upstream stops working on it. */
@@ -62,16 +62,16 @@
 export type NotRunReason = (typeof NotRunReason)[keyof typeof NotRunReason];
 
 /** What the head of an upstream's answer says. */
-export interface UpstreamHead {
+export interface ResponseHead {
   status: number;
   /** Whether it names this request; an answer that names another belongs to nobody. */
   isForRequest: boolean;
   /** Whether it carries the proof of the upstream that ran the request. */
-  hasProof: boolean;
+  hasResponseStamp: boolean;
   /** Whether the body is encoded, and so is not the upstream's own. */
-  isEncoded: boolean;
+  hasContentEncoding: boolean;
   /** Set when the upstream promises that it did not run the request. */
-  notRun: NotRunReason | undefined;
+  notRunReason: NotRunReason | undefined;
   /** Requests that run or wait there, where it tells. */
   reportedRunning: number | undefined;
   /** Whether the upstream says that it is about to leave. */
@@ -81,23 +81,23 @@
 }
 
 /** The caller-side and upstream-side headers of a platform. */
-export interface PlatformDialect {
-  decodeCallerFacts(
+export interface HeaderCodec {
+  decodeRequestMetadata(
     headers: IncomingHttpHeaders,
     url: string,
-  ): CallerFacts;
+  ): RequestMetadata;
   /** Returns the raw headers of the request to the upstream, without those of the body. */
   encodeAttemptHeaders(
     rawHeaders: readonly string[],
-    attempt: AttemptFacts,
+    attempt: AttemptMetadata,
   ): string[];
-  decodeUpstreamHead(
+  decodeResponseHead(
     status: number,
     headers: IncomingHttpHeaders,
     requestId: string,
-  ): UpstreamHead;
+  ): ResponseHead;
   /** Returns the raw headers of the answer to the caller, without those of one connection. */
-  encodeAnswerHeaders(rawHeaders: readonly string[]): string[];
+  encodeResponseHeaders(rawHeaders: readonly string[]): string[];
   /** Returns the headers with which a refusal is answered. */
   encodeRefusalHeaders(retryAfterMs: Milliseconds | undefined): string[];
   readonly readyPath: string;
@@ -166,6 +166,6 @@
   giveOrder(
     engine: { id: string; address: string },
     order: AdapterOrder,
-    right: { holder: string; fence: number; expectedSequence: number },
+    ownership: { holder: string; fence: number; expectedSequence: number },
   ): Promise<OrderAnswer>;
 }
--- a/src/gateway/request_context.ts
+++ b/src/gateway/request_context.ts
@@ -12,21 +12,21 @@
 import type { DecisionLog } from "./decision_log.ts";
 import type { EngineTask } from "./engine_task.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import type { PlatformDialect } from "./ports.ts";
+import type { HeaderCodec } from "./ports.ts";
 import type { UpstreamClient } from "./upstream_client.ts";
 
 export interface RequestContext {
   selfId: string;
   failureDomain: string;
-  dialect: PlatformDialect;
+  headerCodec: HeaderCodec;
   view: PublishedView;
   fleet: FleetView;
   health: UpstreamHealth;
   backoff: UpstreamBackoff;
   reachability: DomainReachability;
   demand: AdapterDemand;
-  answerMemory: AnswerMemory;
-  allowance: RepeatAllowance;
+  responseMemory: AnswerMemory;
+  retryBudget: RepeatAllowance;
   quarantine: CrashQuarantine;
   serviceLoads: Map<string, ServiceLoad>;
   upstreams: UpstreamClient;
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/request_flow.ts
@@ -22,28 +22,28 @@
 } from "../core/view/published_view.ts";
 import {
   type AttemptResult,
-  getHealthSign,
-  PieceVerdict,
+  classifyHealth,
   runAttempt,
   type RunningAttempt,
+  SinkDecision,
 } from "./attempt_runner.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
-import { EnginePlaceFinder } from "./engine_place_finder.ts";
+import { EngineSelector } from "./engine_place_finder.ts";
 import { roundMs } from "./decision_log.ts";
-import type { UpstreamHead } from "./ports.ts";
+import type { ResponseHead } from "./ports.ts";
 import type { RequestContext } from "./request_context.ts";
 import { listUsableUpstreams } from "./usable_upstreams.ts";
 
 /** Time of a caller's deadline that the ways to it and back take. */
-const TRAVEL_MS = 8;
+const NETWORK_ALLOWANCE_MS = 8;
 /** Times that a request looks for another upstream because its own began to leave, or to back off. */
-const MAX_CLOSED_WHILE_WAITING = 3;
+const MAX_RESELECTIONS = 3;
 /** Longest event of a stream: callers' whole bodies are bounded by 4 MB, events are some hundred bytes long. */
 const MAX_EVENT_BYTES = 1024 * 1024;
 /** Part of the time left that an idempotent request gives one upstream to answer. */
-const SILENCE_SHARE = 0.45;
+const RESPONSE_HEADER_TIMEOUT_SHARE = 0.45;
 /** Objectives without a first event after which a resumable stream is sent elsewhere. */
-const FIRST_EVENT_OBJECTIVES = 2;
+const FIRST_EVENT_TIMEOUT_OBJECTIVES = 2;
 
 const Status = {
   NotFound: 404,
@@ -52,7 +52,7 @@
   GatewayTimeout: 504,
 } as const;
 
-export class RequestFlow {
+export class RequestHandler {
   readonly #context: RequestContext;
   readonly #exchange: CallerExchange;
   readonly #route: PublishedRoute;
@@ -60,7 +60,7 @@
   readonly #fingerprint: string;
   readonly #endsAt: Milliseconds;
   readonly #splitter = new EventSplitter();
-  readonly #passedOver = new Set<string>();
+  readonly #excludedUpstreamIds = new Set<string>();
   readonly #rejectedBy = new Set<string>();
   #running: RunningAttempt | undefined;
   #allAttempts = 0;
@@ -68,12 +68,12 @@
   #hasForwarded = false;
   #isFinished = false;
   #head: { status: number; rawHeaders: string[] } | undefined;
-  readonly #places: EnginePlaceFinder;
+  readonly #engineSelector: EngineSelector;
   #sentAt: Milliseconds = Number.NaN;
   #firstByteAt: Milliseconds = Number.NaN;
-  #closedWhileWaiting = 0;
+  #reselections = 0;
   /** Time until an upstream of a plain service takes requests again, where none does. */
-  #reopensInMs: Milliseconds | undefined;
+  #shortestBackoffMs: Milliseconds | undefined;
 
   constructor(
     context: RequestContext,
@@ -86,29 +86,29 @@
     this.#route = target.route;
     this.#service = target.service;
     this.#fingerprint = fingerprint;
-    const deadlineMs = exchange.facts.deadlineMs ?? target.route.timeoutMs;
+    const deadlineMs = exchange.metadata.deadlineMs ?? target.route.timeoutMs;
     this.#endsAt = exchange.arrivedAt +
-      Math.min(deadlineMs - TRAVEL_MS, target.route.timeoutMs);
-    this.#places = new EnginePlaceFinder({
+      Math.min(deadlineMs - NETWORK_ALLOWANCE_MS, target.route.timeoutMs);
+    this.#engineSelector = new EngineSelector({
       context,
       exchange,
       ...target,
       endsAt: this.#endsAt,
-      passedOver: this.#passedOver,
+      excludedUpstreamIds: this.#excludedUpstreamIds,
       isFinished: () => this.#isFinished,
     });
   }
 
   /** Serves the request; resolves when its answer has been given or its caller has left. */
   async run(): Promise<void> {
-    const { allowance, metrics } = this.#context;
-    allowance.recordArrival(this.#service.name, performance.now());
+    const { retryBudget: retryBudget, metrics } = this.#context;
+    retryBudget.recordArrival(this.#service.name, performance.now());
     metrics.count("requests", this.#route.repeatability);
     const timer = setTimeout(
-      () => this.#handleTimeout(),
+      () => this.#handleDeadline(),
       Math.max(0, this.#endsAt - performance.now()),
     );
-    this.#exchange.onGone(() => this.#handleGone());
+    this.#exchange.onDisconnect(() => this.#handleDisconnect());
     try {
       while (!this.#isFinished) await this.#tryOnce();
     } finally {
@@ -123,7 +123,7 @@
   async #tryOnce(): Promise<void> {
     const { quarantine } = this.#context;
     if (quarantine.isQuarantined(this.#fingerprint, performance.now())) {
-      this.#conclude(
+      this.#applyVerdict(
         "quarantined",
         this.#ranAttempts === 0
           ? { kind: "refuse" }
@@ -132,47 +132,47 @@
       return;
     }
     const upstream = this.#service.engine
-      ? await this.#places.findEngine()
+      ? await this.#engineSelector.selectEngine()
       : this.#selectServiceUpstream();
     if (this.#isFinished) {
-      this.#places.releasePlace();
+      this.#engineSelector.releaseEngine();
       return;
     }
-    if (upstream && this.#isClosed(upstream)) {
+    if (upstream && this.#isUnavailable(upstream)) {
       // It began to leave, or to back off, while the request waited for its place.
-      this.#passedOver.add(upstream.id);
-      this.#places.releasePlace();
-      this.#closedWhileWaiting += 1;
-      if (this.#closedWhileWaiting <= MAX_CLOSED_WHILE_WAITING) return;
+      this.#excludedUpstreamIds.add(upstream.id);
+      this.#engineSelector.releaseEngine();
+      this.#reselections += 1;
+      if (this.#reselections <= MAX_RESELECTIONS) return;
     }
-    if (!upstream || this.#isClosed(upstream)) {
-      this.#conclude(
-        this.#reopensInMs === undefined ? "noPlace" : "allBackedOff",
+    if (!upstream || this.#isUnavailable(upstream)) {
+      this.#applyVerdict(
+        this.#shortestBackoffMs === undefined ? "noPlace" : "allBackedOff",
         this.#ranAttempts === 0
           ? { kind: "refuse" }
           : { kind: "fail", isTimeout: false },
       );
       return;
     }
-    const result = await this.#send(upstream);
-    this.#places.releasePlace(result);
+    const result = await this.#sendAttempt(upstream);
+    this.#engineSelector.releaseEngine(result);
     if (this.#isFinished) return;
     this.#recordResult(upstream, result);
-    this.#conclude(result.detail, this.#decide(result), result);
+    this.#applyVerdict(result.detail, this.#decide(result), result);
   }
 
   /** Returns whether the upstream may not be sent anything from here now. */
-  #isClosed(upstream: PublishedUpstream): boolean {
+  #isUnavailable(upstream: PublishedUpstream): boolean {
     const { view, backoff } = this.#context;
     const isLeaving = view.getUpstream(upstream.id)?.isLeaving ?? true;
     return isLeaving || backoff.getRemainingMs(upstream, performance.now()) > 0;
   }
 
   /** Takes in what the head of an answer says of its upstream. */
-  #handleHead(upstream: PublishedUpstream, head: UpstreamHead): void {
+  #handleHead(upstream: PublishedUpstream, head: ResponseHead): void {
     const { view, backoff, log, metrics, serviceLoads } = this.#context;
     const now = performance.now();
-    const { requestId } = this.#exchange.facts;
+    const { requestId } = this.#exchange.metadata;
     if (head.isLeaving && view.recordLeavingNotice(upstream)) {
       metrics.count("upstream_notices", "leaving");
       log.info("upstreamLeaving", {
@@ -198,8 +198,8 @@
     }
   }
 
-  async #send(upstream: PublishedUpstream): Promise<AttemptResult> {
-    const { facts } = this.#exchange;
+  async #sendAttempt(upstream: PublishedUpstream): Promise<AttemptResult> {
+    const { metadata: metadata } = this.#exchange;
     const isStream = this.#route.repeatability === Repeatability.Stream;
     const load = this.#getServiceLoad(upstream.id);
     this.#allAttempts += 1;
@@ -208,20 +208,20 @@
     this.#running = runAttempt(this.#context, {
       exchange: this.#exchange,
       upstream,
-      facts: {
+      metadata: {
         upstreamId: upstream.id,
         remainingMs: Math.max(1, this.#getRemainingMs()),
-        adapterVersion: this.#places.adapterVersion,
+        adapterVersion: this.#engineSelector.adapterVersion,
         priorityRank: this.#service.engine && this.#route.priorityRank,
-        lastEventId: this.#splitter.lastEventId ?? facts.lastEventId,
+        lastEventId: this.#splitter.lastEventId ?? metadata.lastEventId,
       },
-      mayReuseConnection: this.#canRepeat(),
-      silenceMs: this.#getSilenceMs(),
+      mayReuseConnection: this.#canRetry(),
+      responseHeaderTimeoutMs: this.#computeResponseHeaderTimeoutMs(),
       handleHead: (head) => this.#handleHead(upstream, head),
       sink: isStream
         ? {
           start: (status, rawHeaders) => this.#head ??= { status, rawHeaders },
-          push: (piece) => this.#forward(piece),
+          push: (chunk) => this.#forwardChunk(chunk),
         }
         : undefined,
     });
@@ -232,19 +232,19 @@
   }
 
   /** Passes on whole events; the head goes out with the first of them. */
-  #forward(piece: Buffer): PieceVerdict {
-    const whole = this.#splitter.push(piece);
-    if (this.#splitter.restBytes > MAX_EVENT_BYTES) return PieceVerdict.Cut;
-    if (whole.length === 0 || this.#isFinished) return PieceVerdict.ReadOn;
+  #forwardChunk(chunk: Buffer): SinkDecision {
+    const events = this.#splitter.push(chunk);
+    if (this.#splitter.restBytes > MAX_EVENT_BYTES) return SinkDecision.Abort;
+    if (events.length === 0 || this.#isFinished) return SinkDecision.Continue;
     if (!this.#hasForwarded) this.#startStream();
-    this.#exchange.write(whole);
-    if (!this.#exchange.isBacklogged) return PieceVerdict.ReadOn;
+    this.#exchange.write(events);
+    if (!this.#exchange.isWriteBufferFull) return SinkDecision.Continue;
     this.#context.metrics.count(
       "callers_backlogged",
       this.#route.repeatability,
     );
-    this.#exchange.awaitDrained(() => this.#running?.resume());
-    return PieceVerdict.Pause;
+    this.#exchange.onDrain(() => this.#running?.resume());
+    return SinkDecision.Pause;
   }
 
   #startStream(): void {
@@ -255,26 +255,32 @@
     this.#firstByteAt = performance.now();
     const elapsedMs = this.#firstByteAt - this.#exchange.arrivedAt;
     metrics.measure("first_byte", this.#route.repeatability, elapsedMs);
-    this.#places.notifyFirstToken();
+    this.#engineSelector.notifyFirstToken();
   }
 
-  #canRepeat(): boolean {
+  #canRetry(): boolean {
     return isIdempotent(this.#route.repeatability, this.#route.isResumable);
   }
 
-  #getSilenceMs(): Milliseconds {
+  #computeResponseHeaderTimeoutMs(): Milliseconds {
     const remainingMs = Math.max(1, this.#getRemainingMs());
-    const isLastAttempt = !this.#canRepeat() ||
+    const isLastAttempt = !this.#canRetry() ||
       this.#ranAttempts + 1 >= this.#route.maxAttempts;
     if (isLastAttempt) return remainingMs;
     const { latencyObjectiveMs, repeatability } = this.#route;
     return repeatability === Repeatability.Stream
-      ? Math.min(remainingMs, FIRST_EVENT_OBJECTIVES * latencyObjectiveMs)
-      : Math.max(latencyObjectiveMs, SILENCE_SHARE * remainingMs);
+      ? Math.min(
+        remainingMs,
+        FIRST_EVENT_TIMEOUT_OBJECTIVES * latencyObjectiveMs,
+      )
+      : Math.max(
+        latencyObjectiveMs,
+        RESPONSE_HEADER_TIMEOUT_SHARE * remainingMs,
+      );
   }
 
   #decide(result: AttemptResult): AttemptVerdict {
-    const { allowance, fleet } = this.#context;
+    const { retryBudget: retryBudget, fleet } = this.#context;
     const { repeatability, isResumable, maxAttempts } = this.#route;
     const mayHaveRun = result.outcome !== AttemptOutcome.NotRun &&
       result.outcome !== AttemptOutcome.NotSent;
@@ -289,21 +295,21 @@
       remainingMs: this.#getRemainingMs(),
     }, () => {
       const now = performance.now();
-      const living = fleet.countLiving(now);
-      return allowance.trySpend(this.#service.name, living, now);
+      const aliveDaemons = fleet.countLiving(now);
+      return retryBudget.trySpend(this.#service.name, aliveDaemons, now);
     });
   }
 
   /** Carries a verdict out and logs it. */
-  #conclude(
+  #applyVerdict(
     reason: string,
     verdict: AttemptVerdict,
     result?: AttemptResult,
   ): void {
     const { log, metrics, view } = this.#context;
-    const isOrdinary = verdict.kind === "deliver";
+    const isDelivered = verdict.kind === "deliver";
     const fields = {
-      requestId: this.#exchange.facts.requestId,
+      requestId: this.#exchange.metadata.requestId,
       route: this.#route.name,
       verdict: verdict.kind,
       reason,
@@ -312,7 +318,7 @@
       status: result?.status,
       attempts: this.#allAttempts,
       ran: this.#ranAttempts,
-      questions: this.#places.questions,
+      questions: this.#engineSelector.permitCount,
       objectiveMs: this.#route.latencyObjectiveMs,
       sentMs: roundMs(this.#sentAt - this.#exchange.arrivedAt),
       firstByteMs: roundMs(this.#firstByteAt - this.#exchange.arrivedAt),
@@ -320,7 +326,7 @@
       remainingMs: roundMs(this.#getRemainingMs()),
       configurationVersion: view.configuration?.version,
     };
-    log.info(isOrdinary ? "requestServed" : "requestDecision", fields);
+    log.info(isDelivered ? "requestServed" : "requestDecision", fields);
     switch (verdict.kind) {
       case "tryAnother":
         metrics.count("repeats", result?.outcome ?? reason);
@@ -349,7 +355,7 @@
       result.outcome === AttemptOutcome.NotRun &&
       !this.#rejectedBy.has(upstreamId);
     if (isFirstRejection) this.#rejectedBy.add(upstreamId);
-    else this.#passedOver.add(upstreamId);
+    else this.#excludedUpstreamIds.add(upstreamId);
   }
 
   #deliver(result: AttemptResult | undefined): void {
@@ -360,14 +366,14 @@
       this.#route.repeatability,
       elapsedMs,
     );
-    if (result?.answer && !this.#hasForwarded) {
-      const { status, rawHeaders, body } = result.answer;
-      this.#exchange.answer(status, rawHeaders, body);
+    if (result?.response && !this.#hasForwarded) {
+      const { status, rawHeaders, body } = result.response;
+      this.#exchange.sendResponse(status, rawHeaders, body);
       return;
     }
-    if (result?.answer) {
+    if (result?.response) {
       // A failure after the head of a stream was passed on can't be told any more.
-      this.#exchange.breakOff();
+      this.#exchange.abort();
       return;
     }
     if (!this.#hasForwarded) this.#startStream();
@@ -378,16 +384,19 @@
   #refuse(reason: string): void {
     this.#isFinished = true;
     if (this.#hasForwarded) {
-      this.#exchange.breakOff();
+      this.#exchange.abort();
       return;
     }
     const retryAfterMs = computeRetryAfterMs({
-      requestId: this.#exchange.facts.requestId,
-      expectedWaitMs: this.#reopensInMs ?? this.#places.expectedMs,
+      requestId: this.#exchange.metadata.requestId,
+      expectedWaitMs: this.#shortestBackoffMs ??
+        this.#engineSelector.expectedWaitMs,
       remainingMs: this.#getRemainingMs(),
     });
-    const headers = this.#context.dialect.encodeRefusalHeaders(retryAfterMs);
-    this.#exchange.answerText(
+    const headers = this.#context.headerCodec.encodeRefusalHeaders(
+      retryAfterMs,
+    );
+    this.#exchange.sendError(
       Status.Unavailable,
       headers,
       `not run: ${reason}`,
@@ -397,30 +406,30 @@
   #fail(isTimeout: boolean, reason: string): void {
     this.#isFinished = true;
     if (this.#hasForwarded) {
-      this.#exchange.breakOff();
+      this.#exchange.abort();
       return;
     }
     const status = isTimeout ? Status.GatewayTimeout : Status.BadGateway;
-    this.#exchange.answerText(status, [], `may have run: ${reason}`);
+    this.#exchange.sendError(status, [], `may have run: ${reason}`);
   }
 
-  #handleTimeout(): void {
+  #handleDeadline(): void {
     if (this.#isFinished) return;
     const isWaiting = this.#running === undefined && this.#ranAttempts === 0;
     this.#running?.cancel();
-    this.#conclude(
+    this.#applyVerdict(
       "deadline",
       isWaiting ? { kind: "refuse" } : { kind: "fail", isTimeout: true },
     );
   }
 
-  #handleGone(): void {
+  #handleDisconnect(): void {
     if (this.#isFinished) return;
     this.#isFinished = true;
     this.#running?.cancel();
     this.#context.metrics.count("callers_gone", this.#route.repeatability);
     this.#context.log.info("callerGone", {
-      requestId: this.#exchange.facts.requestId,
+      requestId: this.#exchange.metadata.requestId,
       route: this.#route.name,
       attempts: this.#allAttempts,
       hasStarted: this.#hasForwarded,
@@ -432,20 +441,20 @@
     const { health, quarantine, metrics } = this.#context;
     const now = performance.now();
     metrics.count("attempts", result.outcome);
-    const sign = getHealthSign(result);
+    const sign = classifyHealth(result);
     if (sign) {
       health.recordSignal(upstream.id, sign, now);
-      this.#recordReach(upstream, sign, now);
+      this.#recordReachability(upstream, sign, now);
     }
     if (result.outcome === AttemptOutcome.Answered) {
       quarantine.recordSurvival(this.#fingerprint);
-    } else if (result.hasBroken && !this.#hasForwarded) {
+    } else if (result.isConnectionBroken && !this.#hasForwarded) {
       quarantine.recordCrash(this.#fingerprint, true, now);
     }
   }
 
   /** Learns from an attempt whether the upstream's failure domain can be reached. */
-  #recordReach(
+  #recordReachability(
     { id, failureDomain }: PublishedUpstream,
     sign: HealthSignal,
     now: Milliseconds,
@@ -461,7 +470,7 @@
     reachability.recordUnreachable(failureDomain, now);
     if (isHeard || wasCutOff) return;
     log.info("domainCutOff", {
-      requestId: this.#exchange.facts.requestId,
+      requestId: this.#exchange.metadata.requestId,
       failureDomain,
       upstream: id,
     });
@@ -485,15 +494,16 @@
     const now = performance.now();
     const upstreams = view.listServing(this.#service.name);
     const usable = listUsableUpstreams(this.#context, upstreams, now);
-    this.#reopensInMs = usable.length === 0
+    this.#shortestBackoffMs = usable.length === 0
       ? backoff.getShortestRemainingMs(upstreams, now)
       : undefined;
     const ranked = rankServiceUpstreams(usable, {
       failureDomain,
       health,
       getLoad: (id) => serviceLoads.get(id),
-      tieBreakKey: this.#exchange.facts.requestId,
+      tieBreakKey: this.#exchange.metadata.requestId,
     }, now);
-    return ranked.find((each) => !this.#passedOver.has(each.id)) ?? ranked[0];
+    return ranked.find((each) => !this.#excludedUpstreamIds.has(each.id)) ??
+      ranked[0];
   }
 }
--- a/src/gateway/upstream_client.ts
+++ b/src/gateway/upstream_client.ts
@@ -29,14 +29,14 @@
 export interface AttemptListener {
   onHead(head: IncomingMessage): void;
   /** Returns whether more may come; after false nothing is read until `resume`. */
-  onPiece(piece: Buffer): boolean;
+  onChunk(chunk: Buffer): boolean;
   onEnd(end: AttemptEnd): void;
 }
 
 /** A request on its way. */
 export interface StartedAttempt {
   /** Gives it up and closes its connection. */
-  abandon: () => void;
+  cancel: () => void;
   /** Reads on after a piece for which no more could be taken. */
   resume: () => void;
 }
@@ -52,20 +52,20 @@
 /** Time for a connection to be made: ways take milliseconds, a new one waits for a handshake. */
 const CONNECT_TIMEOUT_MS = 400;
 /** Time for which an idle connection is kept, below the upstreams' own idle limits of seconds. */
-const IDLE_CONNECTION_MS = 2_000;
+const IDLE_CONNECTION_TIMEOUT_MS = 2_000;
 /** Part of an upstream's connections that one daemon keeps idle. */
 const MAX_IDLE_CONNECTIONS = 6;
 /** Interim answers (1xx) before the head after which a connection is cut: the protocol knows three kinds, each is sent once. */
 const MAX_INTERIM_HEADS = 8;
 
 export class UpstreamClient {
-  readonly #reusing = new GuardedAgent({
+  readonly #keepAliveAgent = new IdleCheckingAgent({
     keepAlive: true,
-    timeout: IDLE_CONNECTION_MS,
+    timeout: IDLE_CONNECTION_TIMEOUT_MS,
     maxFreeSockets: MAX_IDLE_CONNECTIONS,
     scheduling: "lifo",
   });
-  readonly #fresh = new Agent({ keepAlive: false });
+  readonly #singleUseAgent = new Agent({ keepAlive: false });
 
   startAttempt(
     attempt: AttemptRequest,
@@ -80,14 +80,16 @@
       path: attempt.url,
       headers: rawHeaders,
       setHost: false,
-      agent: attempt.mayReuseConnection ? this.#reusing : this.#fresh,
+      agent: attempt.mayReuseConnection
+        ? this.#keepAliveAgent
+        : this.#singleUseAgent,
     });
     return followAttempt(call, attempt.body, listener);
   }
 
   close(): void {
-    this.#reusing.destroy();
-    this.#fresh.destroy();
+    this.#keepAliveAgent.destroy();
+    this.#singleUseAgent.destroy();
   }
 }
 
@@ -101,12 +103,12 @@
   let interimHeads = 0;
   let response: IncomingMessage | undefined;
   let timer: ReturnType<typeof setTimeout> | undefined;
-  const end = (how: AttemptEnd): void => {
+  const end = (attemptEnd: AttemptEnd): void => {
     if (hasEnded) return;
     hasEnded = true;
     clearTimeout(timer);
-    if (how.kind !== "complete") call.destroy();
-    listener.onEnd(how);
+    if (attemptEnd.kind !== "complete") call.destroy();
+    listener.onEnd(attemptEnd);
   };
   const fail = (detail: string): void =>
     end({ kind: hasConnected ? "broken" : "notSent", detail });
@@ -134,8 +136,8 @@
     if (hasEnded) return;
     response = head;
     listener.onHead(head);
-    head.on("data", (piece: Buffer) => {
-      if (!hasEnded && !listener.onPiece(piece)) head.pause();
+    head.on("data", (chunk: Buffer) => {
+      if (!hasEnded && !listener.onChunk(chunk)) head.pause();
     });
     head.on("error", (error) => fail(describeError(error)));
     head.on("close", () => fail("connection closed within the answer"));
@@ -147,7 +149,7 @@
   });
   call.end(body);
   return {
-    abandon: () => {
+    cancel: () => {
       hasEnded = true;
       clearTimeout(timer);
       call.on("error", dropError);
@@ -178,7 +180,7 @@
 function dropError(): void {}
 
 /** Drops an idle connection on which bytes arrive: they answer no request. */
-class GuardedAgent extends Agent {
+class IdleCheckingAgent extends Agent {
   override keepSocketAlive(socket: Socket): boolean {
     // The base class reads the upstream's Keep-Alive hint and may decline.
     const keepAlive = super.keepSocketAlive as (socket: Socket) => unknown;
--- a/src/gateway/view_follower.ts
+++ b/src/gateway/view_follower.ts
@@ -11,7 +11,7 @@
 import { describeError, describeStep } from "../daemon/step_error.ts";
 import type { DecisionLog } from "./decision_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import { callPeer } from "./http_exchange.ts";
+import { sendHttpRequest } from "./http_exchange.ts";
 import { decodePeerBatch, encodePeerBatch } from "./peer_batch.ts";
 import {
   type ChangeDecoder,
@@ -314,7 +314,7 @@
   ): Promise<void> {
     const address = `${peer.ip}:${this.#options.listen.port}`;
     try {
-      const answer = await callPeer({
+      const answer = await sendHttpRequest({
         step: "ask peer for the published view",
         address,
         method: "GET",
--- a/src/gateway/wait.ts
+++ b/src/gateway/wait.ts
@@ -1,6 +1,6 @@
 /** Lets time pass between the steps of a task. */
 import type { Milliseconds } from "../core/structures.ts";
 
-export function waitMs(spanMs: Milliseconds): Promise<void> {
-  return new Promise((resolve) => setTimeout(resolve, spanMs));
+export function waitMs(durationMs: Milliseconds): Promise<void> {
+  return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
--- a/test/gateway/answers_test.ts
+++ b/test/gateway/answers_test.ts
@@ -10,15 +10,15 @@
   STREAM_EVENTS,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayBench } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_bench.ts";
 
-const bench = new GatewayBench();
+const harness = new GatewayHarness();
 
 test.before(async () => {
-  bench.routeParts = { resume: { resumable: true } };
-  await bench.start({ gateways: 1, engines: 2, services: 2 });
+  harness.routeOverrides = { resume: { resumable: true } };
+  await harness.start({ gateways: 1, engines: 2, services: 2 });
 });
-test.after(() => bench.stop());
+test.after(() => harness.stop());
 
 interface FaultRow {
   fault: ReplicaBehaviour;
@@ -28,7 +28,7 @@
 }
 
 /** Whichever replica is asked first shows the fault, the others are sound. */
-function misbehaveOnce(
+function setFaultOnce(
   replicas: FakePlatformReplica[],
   fault: ReplicaBehaviour,
 ): void {
@@ -60,76 +60,76 @@
 for (const { fault, path, status, runs } of ROWS) {
   test(`${path}: ${fault} ends as ${status} after ${runs} runs`, async () => {
     const id = `${fault}-${path}`;
-    misbehaveOnce(bench.services, fault);
-    const answer = await bench.call(path, { id, body: id });
+    setFaultOnce(harness.services, fault);
+    const answer = await harness.call(path, { id, body: id });
     assert.is(answer.status, status);
     assert.ok(answer.isComplete);
     if (status === 200) assert.is(answer.body, ANSWER);
-    assert.is(bench.countRuns(id), runs);
+    assert.is(harness.countRuns(id), runs);
   });
 }
 
 test("a second answer on a kept connection reaches nobody", async () => {
-  for (const service of bench.services) service.behaviours = ["extra"];
-  await bench.call("/safe/1");
-  await bench.call("/safe/1");
+  for (const service of harness.services) service.behaviours = ["extra"];
+  await harness.call("/safe/1");
+  await harness.call("/safe/1");
   const answers = await Promise.all(
-    Array.from({ length: 6 }, () => bench.call("/safe/1")),
+    Array.from({ length: 6 }, () => harness.call("/safe/1")),
   );
   for (const answer of answers) assert.is(answer.body, ANSWER);
 });
 
 test("a stream comes whole, from an adapter that is loaded for it", async () => {
-  const answer = await bench.call("/brief/1");
+  const answer = await harness.call("/brief/1");
   assert.is(answer.status, 200);
   assert.ok(answer.isComplete);
   const events = answer.body.match(/data: piece \d/g) ?? [];
   assert.is(events.length, STREAM_EVENTS);
-  const orders = bench.engines.flatMap((engine) => engine.orders);
+  const orders = harness.engines.flatMap((engine) => engine.orders);
   assert.ok(orders.some((order) => order.adapter === "a1"));
 });
 
 test("a stream that breaks off never looks whole", async () => {
-  for (const engine of bench.engines) engine.behaviours = ["breakStream"];
+  for (const engine of harness.engines) engine.behaviours = ["breakStream"];
   const id = "broken-stream";
-  const answer = await bench.call("/brief/1", { id });
+  const answer = await harness.call("/brief/1", { id });
   assert.not(answer.isComplete);
-  assert.is(bench.countRuns(id), 1);
-  for (const engine of bench.engines) engine.behaviours = [];
+  assert.is(harness.countRuns(id), 1);
+  for (const engine of harness.engines) engine.behaviours = [];
 });
 
 test("a resumable stream goes on elsewhere, each event once", async () => {
-  misbehaveOnce(bench.engines, "breakStream");
+  setFaultOnce(harness.engines, "breakStream");
   const id = "resumed-stream";
-  const answer = await bench.call("/resume/1", { id });
+  const answer = await harness.call("/resume/1", { id });
   assert.ok(answer.isComplete);
   const ids = [...answer.body.matchAll(/id: (\d+)/g)].map(([, number]) =>
     number
   );
   assert.equal(ids, ["1", "2", "3", "4"]);
-  const resumedAfter = bench.engines.flatMap((engine) => engine.seen)
+  const resumedAfter = harness.engines.flatMap((engine) => engine.seen)
     .filter((seen) => seen.id === id)
     .map((seen) => seen.headers["last-event-id"] ?? "");
   assert.equal(resumedAfter.sort(), ["", "2"]);
-  for (const engine of bench.engines) engine.behaviours = [];
+  for (const engine of harness.engines) engine.behaviours = [];
 });
 
 test("a caller that leaves cancels the work", async () => {
-  for (const engine of bench.engines) engine.behaviours = ["slow"];
+  for (const engine of harness.engines) engine.behaviours = ["slow"];
   const id = "left";
-  await bench.call("/brief/1", { id, leaveAfterMs: 300 }).catch(() =>
+  await harness.call("/brief/1", { id, disconnectAfterMs: 300 }).catch(() =>
     undefined
   );
   await waitMs(200);
-  const seen = bench.engines.flatMap((engine) => engine.seen)
+  const seen = harness.engines.flatMap((engine) => engine.seen)
     .find((each) => each.id === id);
   assert.ok(seen?.wasCut);
-  for (const engine of bench.engines) engine.behaviours = [];
+  for (const engine of harness.engines) engine.behaviours = [];
 });
 
 test("method, path, query, body and custom headers arrive unchanged, smuggled ones do not", async () => {
   const id = "unchanged";
-  await bench.call("/unsafe/a%20b?x=1&y=%2F", {
+  await harness.call("/unsafe/a%20b?x=1&y=%2F", {
     id,
     method: "PUT",
     body: "kept",
@@ -140,7 +140,7 @@
       "X-Request-Priority": "0",
     },
   });
-  const seen = bench.services.flatMap((service) => service.seen)
+  const seen = harness.services.flatMap((service) => service.seen)
     .find((each) => each.id === id);
   assert.is(seen?.method, "PUT");
   assert.is(seen?.url, "/unsafe/a%20b?x=1&y=%2F");
@@ -153,21 +153,24 @@
 });
 
 test("a route that is not there is not found, a body that is too long not taken", async () => {
-  assert.is((await bench.call("/nowhere/1")).status, 404);
-  const long = await bench.call("/safe/1", { body: "x".repeat(100_001) });
+  assert.is((await harness.call("/nowhere/1")).status, 404);
+  const long = await harness.call("/safe/1", { body: "x".repeat(100_001) });
   assert.is(long.status, 413);
 });
 
 test("a route's timeout ends a request that its upstream holds", async () => {
-  bench.routeParts = { ...bench.routeParts, unsafe: { timeout_ms: 400 } };
-  bench.publish();
+  harness.routeOverrides = {
+    ...harness.routeOverrides,
+    unsafe: { timeout_ms: 400 },
+  };
+  harness.publish();
   await waitMs(600);
-  for (const service of bench.services) service.behaviours = ["hang"];
+  for (const service of harness.services) service.behaviours = ["hang"];
   const startedAt = Date.now();
-  const answer = await bench.call("/unsafe/1", { body: "held" });
+  const answer = await harness.call("/unsafe/1", { body: "held" });
   assert.is(answer.status, 504);
   assert.ok(Date.now() - startedAt < 700);
-  for (const service of bench.services) service.behaviours = [];
+  for (const service of harness.services) service.behaviours = [];
 });
 
 test.run();
--- a/test/gateway/bounds_test.ts
+++ b/test/gateway/bounds_test.ts
@@ -10,29 +10,29 @@
   SeenRequest,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayBench } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_bench.ts";
 
 /** Time in which a published version is known to a gateway, far below the rules' seconds. */
-const SPREAD_MS = 700;
+const PROPAGATION_MS = 700;
 /** Deadline that the bench's callers name. */
 const CALLER_DEADLINE_MS = 2_500;
 /** Time in which a replica's work for a caller who left must have been stopped. */
-const GONE_MS = 500;
+const CANCEL_MS = 500;
 /** Replicas that one crashing request may bring down before it is known; the rule allows it three more. */
 const MAX_CRASHES = 3;
 
-const bench = new GatewayBench();
+const harness = new GatewayHarness();
 
 test.before(async () => {
-  bench.routeParts = { resume: { resumable: true } };
-  await bench.start({ gateways: 2, engines: 2, services: 4 });
+  harness.routeOverrides = { resume: { resumable: true } };
+  await harness.start({ gateways: 2, engines: 2, services: 4 });
 });
-test.after(() => bench.stop());
-test.after.each(() => misbehave([]));
+test.after(() => harness.stop());
+test.after.each(() => setBehaviours([]));
 
 /** Whichever replica is asked next shows the next behaviour; sound ones follow. */
-function misbehave(behaviours: ReplicaBehaviour[]): void {
-  for (const replica of [...bench.services, ...bench.engines]) {
+function setBehaviours(behaviours: ReplicaBehaviour[]): void {
+  for (const replica of [...harness.services, ...harness.engines]) {
     replica.behaviours = behaviours;
   }
 }
@@ -54,17 +54,17 @@
     fault: "the store turns watches away",
     gateway: 1,
     version: 3,
-    prepare: () => bench.store.fault = "busy",
+    prepare: () => harness.store.fault = "busy",
   },
   {
     fault: "the engine restarts empty",
     gateway: 0,
     version: 4,
     prepare: () => {
-      for (const engine of bench.engines) {
+      for (const engine of harness.engines) {
         engine.restart();
         engine.models = ["m"];
-        bench.register(engine);
+        harness.register(engine);
       }
     },
   },
@@ -72,16 +72,20 @@
 
 for (const { fault, gateway, version, prepare } of VERSION_ROWS) {
   test(`VERSION: nothing begins on an older version than ${version}; fault: ${fault}`, async () => {
-    const before = await bench.call("/brief/1", { gateway });
+    const before = await harness.call("/brief/1", { gateway });
     assert.is(before.status, 200);
-    for (const engine of bench.engines) engine.newestVersion = version;
-    bench.store.put("op/version/m/a1", { model: "m", adapter: "a1", version });
-    await waitMs(SPREAD_MS);
+    for (const engine of harness.engines) engine.newestVersion = version;
+    harness.store.put("op/version/m/a1", {
+      model: "m",
+      adapter: "a1",
+      version,
+    });
+    await waitMs(PROPAGATION_MS);
     prepare();
     const id = `version-${version}`;
-    const answer = await bench.call("/brief/1", { id, gateway });
-    bench.store.fault = "none";
-    const runs = bench.listRuns(id);
+    const answer = await harness.call("/brief/1", { id, gateway });
+    harness.store.fault = "none";
+    const runs = harness.listRuns(id);
     for (const run of runs) {
       assert.is(run.headers["x-expect-version"], String(version));
     }
@@ -109,12 +113,12 @@
 for (const { fault, path, deadlineMs, runs } of BUDGET_ROWS) {
   test(`BUDGET: ${path} with ${deadlineMs} ms, ${fault}: no run is handed more time than is left`, async () => {
     const id = `budget-${fault}-${deadlineMs}`;
-    misbehave([fault]);
-    await bench.call(path, {
+    setBehaviours([fault]);
+    await harness.call(path, {
       id,
       headers: { "X-Deadline-Ms": String(deadlineMs) },
     });
-    const handed = bench.listRuns(id).map(readDeadlineMs);
+    const handed = harness.listRuns(id).map(readDeadlineMs);
     assert.is(handed.length, runs);
     const routeMs = 3_000;
     for (const each of handed) {
@@ -127,45 +131,51 @@
 }
 
 test("BUDGET: a request that crashes replicas is stopped, whoever sends it again", async () => {
-  misbehave(Array.from({ length: 40 }, (): ReplicaBehaviour => "reset"));
+  setBehaviours(Array.from({ length: 40 }, (): ReplicaBehaviour => "reset"));
   for (let turn = 0; turn < 8; turn += 1) {
     const id = `crash-${turn}`;
-    await bench.call("/unsafe/1", { id, gateway: 0, body: "crashes" });
+    await harness.call("/unsafe/1", { id, gateway: 0, body: "crashes" });
   }
-  const runs = bench.services.flatMap((service) => service.seen)
+  const runs = harness.services.flatMap((service) => service.seen)
     .filter(({ body }) => body === "crashes");
   assert.is(runs.length, MAX_CRASHES);
   // Another gateway has heard of it within its heartbeats.
   await waitMs(1_500);
-  const answer = await bench.call("/unsafe/1", { gateway: 1, body: "crashes" });
+  const answer = await harness.call("/unsafe/1", {
+    gateway: 1,
+    body: "crashes",
+  });
   assert.is(answer.status, 503);
 });
 
-interface GoneRow {
+interface DisconnectRow {
   path: string;
   fault: ReplicaBehaviour;
-  leaveAfterMs: number;
+  disconnectAfterMs: number;
 }
 
-const GONE_ROWS: GoneRow[] = [
-  { path: "/safe/1", fault: "hang", leaveAfterMs: 200 },
-  { path: "/safe/1", fault: "hang", leaveAfterMs: 1_400 },
-  { path: "/brief/1", fault: "hang", leaveAfterMs: 300 },
-  { path: "/brief/1", fault: "slow", leaveAfterMs: 900 },
-  { path: "/resume/1", fault: "slow", leaveAfterMs: 900 },
+const DISCONNECT_ROWS: DisconnectRow[] = [
+  { path: "/safe/1", fault: "hang", disconnectAfterMs: 200 },
+  { path: "/safe/1", fault: "hang", disconnectAfterMs: 1_400 },
+  { path: "/brief/1", fault: "hang", disconnectAfterMs: 300 },
+  { path: "/brief/1", fault: "slow", disconnectAfterMs: 900 },
+  { path: "/resume/1", fault: "slow", disconnectAfterMs: 900 },
 ];
 
-for (const { path, fault, leaveAfterMs } of GONE_ROWS) {
-  test(`GONE: ${path}, ${fault}, left after ${leaveAfterMs} ms: its work stops and nothing follows`, async () => {
-    const id = `gone-${path}-${leaveAfterMs}`;
-    misbehave(Array.from({ length: 10 }, () => fault));
-    await bench.call(path, { id, leaveAfterMs }).catch(() => undefined);
-    const ran = bench.countRuns(id);
-    assert.ok(ran > 0);
-    await waitMs(GONE_MS);
-    assert.ok(bench.listRuns(id).every(({ wasCut }) => wasCut));
+for (
+  const { path, fault, disconnectAfterMs: disconnectAfterMs } of DISCONNECT_ROWS
+) {
+  test(`GONE: ${path}, ${fault}, left after ${disconnectAfterMs} ms: its work stops and nothing follows`, async () => {
+    const id = `gone-${path}-${disconnectAfterMs}`;
+    setBehaviours(Array.from({ length: 10 }, () => fault));
+    await harness.call(path, { id, disconnectAfterMs: disconnectAfterMs })
+      .catch(() => undefined);
+    const runsAtDisconnect = harness.countRuns(id);
+    assert.ok(runsAtDisconnect > 0);
+    await waitMs(CANCEL_MS);
+    assert.ok(harness.listRuns(id).every(({ wasCut }) => wasCut));
     await waitMs(1_500);
-    assert.is(bench.countRuns(id), ran);
+    assert.is(harness.countRuns(id), runsAtDisconnect);
   });
 }
 
--- a/test/gateway/endless_test.ts
+++ b/test/gateway/endless_test.ts
@@ -9,16 +9,16 @@
 import type { EndlessPart } from "../../fakes/endless_answer.ts";
 import type { FakePlatformReplica } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayBench } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_bench.ts";
 
-const bench = new GatewayBench();
+const harness = new GatewayHarness();
 /** Deadline of the bench's callers, after which nothing of a request may be left. */
 const DEADLINE_MS = 2_500;
 /** Memory that floods may add to this process, stand-ins included: half of the smallest hosts' 250 MB. */
 const MAX_GROWTH_BYTES = 125 * 1024 * 1024;
 
-test.before(() => bench.start({ gateways: 1, engines: 2, services: 2 }));
-test.after(() => bench.stop());
+test.before(() => harness.start({ gateways: 1, engines: 2, services: 2 }));
+test.after(() => harness.stop());
 
 interface Row {
   part: EndlessPart;
@@ -65,7 +65,7 @@
   { part: "endlessBody", path: "/brief/1", status: 502, openMs: CUT_MS },
 ];
 
-function misbehaveOnce(
+function setFaultOnce(
   replicas: FakePlatformReplica[],
   part: EndlessPart,
 ): void {
@@ -75,37 +75,39 @@
 
 for (const { part, path, status, openMs } of ROWS) {
   test(`${path}: ${part} is cut and answered ${status}`, async () => {
-    const replicas = path.startsWith("/brief") ? bench.engines : bench.services;
+    const replicas = path.startsWith("/brief")
+      ? harness.engines
+      : harness.services;
     for (const replica of replicas) replica.endless.length = 0;
-    misbehaveOnce(replicas, part);
-    const answer = await bench.call(path);
+    setFaultOnce(replicas, part);
+    const answer = await harness.call(path);
     assert.is(answer.status, status);
     assert.ok(answer.isComplete);
     const record = replicas.flatMap((replica) => replica.endless)[0];
-    await bench.waitFor(() => record?.openMs !== undefined);
+    await harness.waitFor(() => record?.openMs !== undefined);
     assert.ok((record?.openMs ?? Infinity) < openMs, `${record?.openMs} ms`);
-    assert.is((await bench.call(path)).status, 200);
+    assert.is((await harness.call(path)).status, 200);
   });
 }
 
 test("events without end are passed on until the deadline, and then broken off", async () => {
-  misbehaveOnce(bench.engines, "endlessEvents");
-  for (const engine of bench.engines) engine.endless.length = 0;
+  setFaultOnce(harness.engines, "endlessEvents");
+  for (const engine of harness.engines) engine.endless.length = 0;
   const startedAt = performance.now();
-  const answer = await bench.call("/brief/1", {
+  const answer = await harness.call("/brief/1", {
     headers: { "X-Deadline-Ms": "600" },
   });
   assert.not(answer.isComplete);
   assert.ok(performance.now() - startedAt < 600 + 400);
-  const record = bench.engines.flatMap((engine) => engine.endless)[0];
-  await bench.waitFor(() => record?.openMs !== undefined);
+  const record = harness.engines.flatMap((engine) => engine.endless)[0];
+  await harness.waitFor(() => record?.openMs !== undefined);
 });
 
 test("a caller that does not read holds the stream back, memory stays bounded", async () => {
-  misbehaveOnce(bench.engines, "endlessEvents");
-  for (const engine of bench.engines) engine.endless.length = 0;
+  setFaultOnce(harness.engines, "endlessEvents");
+  for (const engine of harness.engines) engine.endless.length = 0;
   const before = process.memoryUsage().rss;
-  const socket = connect(bench.getCallerPort(), "127.0.0.1");
+  const socket = connect(harness.getCallerPort(), "127.0.0.1");
   socket.on("error", () => {});
   socket.pause();
   socket.write(
@@ -114,7 +116,8 @@
       "X-Token-Counts: 400,20\r\nContent-Length: 0\r\n\r\n",
   );
   await waitMs(1_500);
-  const sent = bench.engines.flatMap((engine) => engine.endless)[0]?.sentBytes;
+  const sent = harness.engines.flatMap((engine) => engine.endless)[0]
+    ?.sentBytes;
   assert.ok(sent !== undefined && sent < 32 * 1024 * 1024, `${sent} bytes`);
   assert.ok(process.memoryUsage().rss - before < MAX_GROWTH_BYTES);
   socket.destroy();
@@ -122,20 +125,20 @@
 
 test("many floods at once keep to one bound", async () => {
   const before = process.memoryUsage().rss;
-  for (const service of bench.services) {
+  for (const service of harness.services) {
     service.behaviours = Array.from({ length: 30 }, () => "endlessBody");
   }
   const answers = await Promise.all(
-    Array.from({ length: 30 }, () => bench.call("/unsafe/1")),
+    Array.from({ length: 30 }, () => harness.call("/unsafe/1")),
   );
-  for (const service of bench.services) service.behaviours = [];
+  for (const service of harness.services) service.behaviours = [];
   for (const { status } of answers) assert.is(status, 502);
   assert.ok(process.memoryUsage().rss - before < MAX_GROWTH_BYTES);
 });
 
 for (const kind of ["body", "header", "chunk extension"] as const) {
   test(`a caller's ${kind} without end is cut`, async () => {
-    const socket = connect(bench.getCallerPort(), "127.0.0.1");
+    const socket = connect(harness.getCallerPort(), "127.0.0.1");
     let isClosed = false;
     socket.on("error", () => {});
     socket.once("close", () => isClosed = true);
--- a/test/gateway/gateway_bench.ts
+++ b/test/gateway/gateway_bench.ts
@@ -23,7 +23,7 @@
 /** Short, so that a takeover fits into a test. */
 export const TERM_MS = 600;
 
-export interface CallerAnswer {
+export interface CallerResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: string;
@@ -38,10 +38,10 @@
   headers?: Record<string, string>;
   body?: string;
   /** The caller leaves after this time. */
-  leaveAfterMs?: number;
+  disconnectAfterMs?: number;
 }
 
-export class GatewayBench {
+export class GatewayHarness {
   readonly store = new FakePlatformStore();
   readonly engines: FakePlatformReplica[] = [];
   readonly services: FakePlatformReplica[] = [];
@@ -51,7 +51,7 @@
   #version = 1;
   #lastId = 0;
   /** Fields of routes that differ from the defaults. */
-  routeParts: Record<string, object> = {};
+  routeOverrides: Record<string, object> = {};
 
   async start(sizes: {
     gateways: number;
@@ -127,7 +127,7 @@
     const create = (name: string, kind: string, service: string) =>
       buildPlatformRoute(name, kind, service, {
         timeout_ms: 3_000,
-        ...this.routeParts[name],
+        ...this.routeOverrides[name],
       });
     this.store.put(
       "op/config",
@@ -142,7 +142,7 @@
   }
 
   /** Calls a route as a caller does. */
-  call(path: string, options: CallOptions = {}): Promise<CallerAnswer> {
+  call(path: string, options: CallOptions = {}): Promise<CallerResponse> {
     this.#lastId += 1;
     const isStream = path.startsWith("/brief") || path.startsWith("/resume");
     const headers: Record<string, string> = {
@@ -173,8 +173,8 @@
           }));
       });
       call.on("error", reject);
-      if (options.leaveAfterMs !== undefined) {
-        setTimeout(() => call.destroy(), options.leaveAfterMs);
+      if (options.disconnectAfterMs !== undefined) {
+        setTimeout(() => call.destroy(), options.disconnectAfterMs);
       }
       call.end(options.body ?? "");
     });
--- a/test/gateway/notices_test.ts
+++ b/test/gateway/notices_test.ts
@@ -10,32 +10,32 @@
   ReplicaBehaviour,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayBench } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_bench.ts";
 
-const bench = new GatewayBench();
+const harness = new GatewayHarness();
 /** Time in which a published entry is known to the gateway. */
-const SPREAD_MS = 700;
+const PROPAGATION_MS = 700;
 
-test.before(() => bench.start({ gateways: 1, engines: 2, services: 2 }));
-test.after(() => bench.stop());
+test.before(() => harness.start({ gateways: 1, engines: 2, services: 2 }));
+test.after(() => harness.stop());
 
 function getService(index: number): FakePlatformReplica {
-  const service = bench.services[index];
+  const service = harness.services[index];
   if (!service) throw new Error(`expected service ${index}, got none`);
   return service;
 }
 
 async function callAll(path: string, count: number): Promise<number[]> {
   const answers = await Promise.all(
-    Array.from({ length: count }, () => bench.call(path)),
+    Array.from({ length: count }, () => harness.call(path)),
   );
   return answers.map((answer) => answer.status);
 }
 
 /** Calls until a replica has been asked; it is one of two. */
-async function callUntil(check: () => boolean): Promise<void> {
+async function callServiceUntil(check: () => boolean): Promise<void> {
   for (let call = 0; call < 60 && !check(); call += 1) {
-    await bench.call("/safe/1");
+    await harness.call("/safe/1");
   }
   assert.ok(check(), `expected ${check} within 60 calls`);
 }
@@ -50,17 +50,17 @@
       "a failure": "fail",
     } as const;
     leaving.behaviours = [fault[where]];
-    await callUntil(() => leaving.behaviours.length === 0);
+    await callServiceUntil(() => leaving.behaviours.length === 0);
     const seenBefore = leaving.seen.length;
     // The store still says that it is ready, and says so again.
-    bench.register(leaving);
-    await waitMs(SPREAD_MS);
+    harness.register(leaving);
+    await waitMs(PROPAGATION_MS);
     assert.equal(await callAll("/safe/1", 8), Array(8).fill(200));
     assert.is(leaving.seen.length, seenBefore);
     leaving.isLeaving = false;
     leaving.restart();
-    bench.register(leaving);
-    await waitMs(SPREAD_MS);
+    harness.register(leaving);
+    await waitMs(PROPAGATION_MS);
     await callAll("/safe/1", 12);
     assert.ok(leaving.seen.length > seenBefore);
   });
@@ -68,7 +68,7 @@
 
 /** Returns the engine that ran the request. */
 function getRunner(requestId: string): FakePlatformReplica {
-  const runner = bench.engines.find((engine) =>
+  const runner = harness.engines.find((engine) =>
     engine.seen.some((seen) => seen.id === requestId)
   );
   if (!runner) throw new Error(`expected an engine that ran ${requestId}`);
@@ -76,14 +76,14 @@
 }
 
 test("an engine that leaves gets no more requests once it has said so, the stream goes on", async () => {
-  await bench.call("/brief/1", { id: "before-leaving" });
+  await harness.call("/brief/1", { id: "before-leaving" });
   const leaving = getRunner("before-leaving");
   leaving.isLeaving = true;
-  const answer = await bench.call("/brief/1");
+  const answer = await harness.call("/brief/1");
   assert.ok(answer.isComplete);
   const seenBefore = leaving.seen.length;
   for (let call = 0; call < 3; call += 1) {
-    const answer = await bench.call("/brief/1");
+    const answer = await harness.call("/brief/1");
     assert.is(answer.status, 200);
     assert.ok(answer.isComplete);
   }
@@ -91,66 +91,66 @@
   leaving.isLeaving = false;
   leaving.restart();
   leaving.models = ["m"];
-  bench.register(leaving);
-  await waitMs(SPREAD_MS);
+  harness.register(leaving);
+  await waitMs(PROPAGATION_MS);
 });
 
 test("a replica that backs off gets no request for as long as it said, others serve meanwhile", async () => {
   const behaviours: ReplicaBehaviour[] = ["shed"];
-  for (const service of bench.services) {
+  for (const service of harness.services) {
     service.refused = 0;
     service.retryAfterS = 1.2;
     service.behaviours = behaviours;
   }
-  await bench.call("/safe/1");
-  const busy = bench.services.find((service) => service.refused === 1);
+  await harness.call("/safe/1");
+  const busy = harness.services.find((service) => service.refused === 1);
   if (!busy) throw new Error("expected one replica that refused");
   const saidAt = performance.now();
   const seenBefore = busy.seen.length;
   while (performance.now() - saidAt < 1_000) {
-    assert.is((await bench.call("/safe/1")).status, 200);
+    assert.is((await harness.call("/safe/1")).status, 200);
   }
   assert.is(busy.seen.length, seenBefore);
   await waitMs(300);
-  await callUntil(() => busy.seen.length > seenBefore);
-  for (const service of bench.services) service.retryAfterS = undefined;
+  await callServiceUntil(() => busy.seen.length > seenBefore);
+  for (const service of harness.services) service.retryAfterS = undefined;
 });
 
 test("where all back off, callers are refused at once, with the shortest time", async () => {
   const times = [1.6, 0.7];
-  bench.services.forEach((service, index) => {
+  harness.services.forEach((service, index) => {
     service.retryAfterS = times[index];
     service.behaviours = ["shed"];
   });
   const both = () =>
-    bench.services.every((service) => service.behaviours.length === 0);
-  await callUntil(both);
-  const seenBefore = bench.services.map((service) => service.seen.length);
+    harness.services.every((service) => service.behaviours.length === 0);
+  await callServiceUntil(both);
+  const seenBefore = harness.services.map((service) => service.seen.length);
   const startedAt = performance.now();
-  const answer = await bench.call("/safe/1", {
+  const answer = await harness.call("/safe/1", {
     headers: { "X-Deadline-Ms": "9000" },
   });
   assert.is(answer.status, 503);
   assert.ok(performance.now() - startedAt < 150);
   const retryAfterMs = 1_000 * Number(answer.headers["retry-after"]);
   assert.ok(retryAfterMs > 300 && retryAfterMs < 1_100, String(retryAfterMs));
-  const seen = bench.services.map((service) => service.seen.length);
+  const seen = harness.services.map((service) => service.seen.length);
   assert.equal(seen, seenBefore);
   await waitMs(1_700);
-  assert.is((await bench.call("/safe/1")).status, 200);
-  for (const service of bench.services) service.retryAfterS = undefined;
+  assert.is((await harness.call("/safe/1")).status, 200);
+  for (const service of harness.services) service.retryAfterS = undefined;
 });
 
 test("an engine that backs off is not asked for places, and its callers are served elsewhere", async () => {
-  await bench.call("/brief/1", { id: "home" });
+  await harness.call("/brief/1", { id: "home" });
   const home = getRunner("home");
   home.retryAfterS = 1.5;
   home.behaviours = ["shed"];
-  assert.is((await bench.call("/brief/1")).status, 200);
+  assert.is((await harness.call("/brief/1")).status, 200);
   assert.is(home.behaviours.length, 0);
   const seenBefore = home.seen.length;
   for (let call = 0; call < 3; call += 1) {
-    const answer = await bench.call("/brief/1");
+    const answer = await harness.call("/brief/1");
     assert.is(answer.status, 200);
     assert.ok(answer.isComplete);
   }
--- a/test/platform/header_dialect_test.ts
+++ b/test/platform/header_dialect_test.ts
@@ -24,7 +24,7 @@
 }
 
 test("facts of a request are decoded", () => {
-  const facts = dialect.decodeCallerFacts({
+  const facts = dialect.decodeRequestMetadata({
     host: "mill.example:8080",
     "x-request-id": "r1",
     "x-model": "m/a3",
@@ -105,7 +105,7 @@
   ["an answer with proof", 200, {
     "x-request-id": "r1",
     "x-response-stamp": "s",
-  }, { isForRequest: true, hasProof: true, notRun: undefined }],
+  }, { isForRequest: true, hasResponseStamp: true, notRunReason: undefined }],
   ["an answer without an id", 200, { "x-response-stamp": "s" }, {
     isForRequest: false,
   }],
@@ -115,20 +115,20 @@
   }, { isForRequest: false }],
   ["a rejection", 503, { "x-not-run": "1" }, {
     isForRequest: true,
-    notRun: "rejected",
+    notRunReason: "rejected",
   }],
   [
     "a failure that ran",
     500,
     { "x-request-id": "r1", "x-response-stamp": "s" },
-    { notRun: undefined },
+    { notRunReason: undefined },
   ],
-  ["a misdirected one", 421, {}, { notRun: "misdirected" }],
+  ["a misdirected one", 421, {}, { notRunReason: "misdirected" }],
   [
     "an encoded one",
     200,
     { "x-request-id": "r1", "content-encoding": "gzip" },
-    { isEncoded: true },
+    { hasContentEncoding: true },
   ],
   ["one with a load", 200, { "x-request-id": "r1", "x-server-load": "3,2,8" }, {
     reportedRunning: 5,
@@ -137,7 +137,7 @@
 
 for (const [name, status, headers, expected] of HEADS) {
   test(`the head of ${name} is understood`, () => {
-    const head = dialect.decodeUpstreamHead(status, headers, "r1");
+    const head = dialect.decodeResponseHead(status, headers, "r1");
     for (const [field, value] of Object.entries(expected)) {
       assert.is(head[field as keyof typeof head], value, field);
     }
@@ -197,7 +197,7 @@
 
 for (const { name, status, headers, isLeaving, backoffMs } of NOTICE_ROWS) {
   test(`what a replica says of itself: ${name}`, () => {
-    const head = dialect.decodeUpstreamHead(status, headers, "r1");
+    const head = dialect.decodeResponseHead(status, headers, "r1");
     assert.is(head.isLeaving, isLeaving);
     assert.is(head.backoffMs, backoffMs);
   });
