--- a/src/core/placement/upstream_choice.ts
+++ b/src/core/placement/upstream_choice.ts
@@ -152,6 +152,7 @@
     ? 0
     : CROSS_DOMAIN_PENALTY;
   const avoidance = from.health.isAvoided(upstream.id, now) ? 10 : 0;
-  return running / Math.max(1, upstream.slots) + distance + avoidance +
+  return running / Math.max(1, upstream.maxConcurrentRequests) + distance +
+    avoidance +
     FAILURE_PENALTY * from.health.getFailureRate(upstream.id, now);
 }
--- a/src/core/view/catch_up.ts
+++ b/src/core/view/catch_up.ts
@@ -8,18 +8,18 @@
 import type { Milliseconds } from "../structures.ts";
 
 /** A peer that knows more than this daemon. */
-export interface KnowingPeer {
+export interface NewerPeer {
   id: string;
   ip: string;
   /** Store revision that it has. */
   revision: number;
-  isNear: boolean;
+  isSameDomain: boolean;
 }
 
 /** Time for which a peer that did not answer is passed over: a large answer on a narrow link takes about as long. */
-const FAILED_PEER_PAUSE_MS = 2_000;
+const FAILED_PEER_EXCLUSION_MS = 2_000;
 
-export class CatchUp {
+export class SyncPeerSelector {
   readonly #selfId: string;
   readonly #failedAt = new Map<string, Milliseconds>();
   #hasFailed = false;
@@ -36,18 +36,19 @@
 
   /** Returns the peer to ask next, a near one where there is one, or undefined when all have failed. */
   choosePeer(
-    peers: readonly KnowingPeer[],
+    peers: readonly NewerPeer[],
     now: Milliseconds,
-  ): KnowingPeer | undefined {
-    const answering = peers.filter((peer) => {
+  ): NewerPeer | undefined {
+    const candidates = peers.filter((peer) => {
       const failedAt = this.#failedAt.get(peer.id);
-      return failedAt === undefined || now - failedAt >= FAILED_PEER_PAUSE_MS;
+      return failedAt === undefined ||
+        now - failedAt >= FAILED_PEER_EXCLUSION_MS;
     });
-    const near = answering.filter((peer) => peer.isNear);
+    const sameDomain = candidates.filter((peer) => peer.isSameDomain);
     this.#attempts += 1;
     return findRendezvousWinner(
       `${this.#selfId} ${this.#attempts}`,
-      near.length > 0 ? near : answering,
+      sameDomain.length > 0 ? sameDomain : candidates,
     );
   }
 
--- a/src/core/view/published_view.ts
+++ b/src/core/view/published_view.ts
@@ -89,7 +89,7 @@
   address: string;
   failureDomain: string;
   /** Requests that it runs at once. */
-  slots: number;
+  maxConcurrentRequests: number;
   isLeaving: boolean;
   /** Unix time of its start; 0 when unknown. Tells apart starts under one id. */
   bornAtUnixMs: number;
@@ -164,8 +164,10 @@
   recordLeavingNotice(
     { id, bornAtUnixMs }: Pick<PublishedUpstream, "id" | "bornAtUnixMs">,
   ): boolean {
-    const noticedStart = this.#leavingNotices.get(id);
-    if (noticedStart !== undefined && noticedStart >= bornAtUnixMs) {
+    const noticedBornAtUnixMs = this.#leavingNotices.get(id);
+    if (
+      noticedBornAtUnixMs !== undefined && noticedBornAtUnixMs >= bornAtUnixMs
+    ) {
       return false;
     }
     this.#leavingNotices.set(id, bornAtUnixMs);
@@ -174,13 +176,13 @@
       if (oldest !== undefined) this.#leavingNotices.delete(oldest);
     }
     const known = this.#upstreams.get(id);
-    const isNews = known !== undefined && !known.isLeaving;
+    const isRelevant = known !== undefined && !known.isLeaving;
     if (known) this.#upstreams.set(id, this.#applyLeavingNotice(known));
-    return isNews;
+    return isRelevant;
   }
 
   /** Drops entries whose grace has ended; returns their ids. */
-  expireLapsed(now: Milliseconds): string[] {
+  removeLapsed(now: Milliseconds): string[] {
     const expired = [...this.#lapsed]
       .filter(([, until]) => until <= now)
       .map(([id]) => id);
--- a/src/core/view/store_mirror.ts
+++ b/src/core/view/store_mirror.ts
@@ -30,7 +30,7 @@
   readonly #tombstones = new Map<string, StoreChange>();
   #asOf = 0;
   /** Changes up to this revision can be told only as a snapshot. */
-  #deltaFloor = 0;
+  #compactedRevision = 0;
 
   /** Store revision up to which this copy is complete; 0 before the first batch. */
   get asOf(): number {
@@ -39,15 +39,15 @@
 
   /** Takes a batch and returns the changes that are news here. */
   applyBatch(batch: StoreBatch): StoreChange[] {
-    const news = batch.changes.filter((change) => this.#applyChange(change));
-    if (batch.isSnapshot) news.push(...this.#removeUnlisted(batch));
+    const applied = batch.changes.filter((change) => this.#applyChange(change));
+    if (batch.isSnapshot) applied.push(...this.#removeUnlisted(batch));
     this.#asOf = Math.max(this.#asOf, batch.asOf);
-    return news;
+    return applied;
   }
 
   /** Returns what has changed since the revision, for a peer that is behind. */
   buildBatchAfter(revision: number): StoreBatch {
-    const isSnapshot = revision < this.#deltaFloor || revision === 0;
+    const isSnapshot = revision < this.#compactedRevision || revision === 0;
     const changes = isSnapshot
       ? [...this.#items.values()]
       : [...this.#items.values(), ...this.#tombstones.values()]
@@ -89,6 +89,9 @@
     const [oldest] = this.#tombstones.values();
     if (!oldest) return;
     this.#tombstones.delete(oldest.key);
-    this.#deltaFloor = Math.max(this.#deltaFloor, oldest.revision);
+    this.#compactedRevision = Math.max(
+      this.#compactedRevision,
+      oldest.revision,
+    );
   }
 }
--- a/src/gateway/decision_log.ts
+++ b/src/gateway/decision_log.ts
@@ -95,6 +95,6 @@
 }
 
 /** Returns a time span rounded for the log. */
-export function roundMs(spanMs: Milliseconds): number {
-  return Math.round(spanMs * 10) / 10;
+export function roundMs(durationMs: Milliseconds): number {
+  return Math.round(durationMs * 10) / 10;
 }
--- a/src/gateway/engine_place_finder.ts
+++ b/src/gateway/engine_place_finder.ts
@@ -119,7 +119,7 @@
       !this.#options.excludedUpstreamIds.has(each.id)
     );
     const candidates = (untried.length > 0 ? untried : ranked)
-      .filter((engine) => this.#context.engines.hasHolder(engine.id))
+      .filter((engine) => this.#context.engines.canRequestPermit(engine.id))
       .slice(0, MAX_ADAPTER_REPLICAS);
     let shortestWait:
       | { engine: PublishedUpstream; ms: Milliseconds }
--- a/src/gateway/engine_task.ts
+++ b/src/gateway/engine_task.ts
@@ -34,10 +34,10 @@
 /** Period in which a daemon looks which engines it should hold. */
 const ROLES_INTERVAL_MS = 400;
 /** Longest time for which a stop waits for an order's answer. */
-const LAST_ORDER_MS = 400;
-const LAST_ORDER_CHECK_MS = 10;
+const LAST_ORDER_TIMEOUT_MS = 400;
+const LAST_ORDER_POLL_INTERVAL_MS = 10;
 /** Shortest time between two looks. */
-const MIN_TICK_MS = 4;
+const MIN_TICK_DELAY_MS = 4;
 
 export interface EngineTaskOptions {
   selfId: string;
@@ -46,12 +46,12 @@
   fleet: FleetView;
   /** Where peers are looked for first; all of them are heard where nobody is cut off. */
   seedIps: readonly string[];
-  fences: FenceClock;
+  fenceClock: FenceClock;
   control: EngineControl;
   log: DecisionLog;
   metrics: GatewayMetrics;
   /** Tells peers of engines that are newly held here, without waiting for the next heartbeat. */
-  announce: () => void;
+  announceOwnership: () => void;
   /** Sends until the peer acknowledges; resolves to false when it does not. */
   deliver: (peerId: string, message: GatewayMessage) => Promise<boolean>;
   /** Sends what may be lost. */
@@ -60,21 +60,21 @@
 
 export class EngineTask {
   readonly #options: EngineTaskOptions;
-  readonly #holders = new Map<string, EngineHolder>();
+  readonly #owners = new Map<string, EngineHolder>();
   /** Asks for places at engines, here or at other daemons. */
   readonly permits: PermitClient;
-  readonly #pauses = new PauseDetector(performance.now(), Date.now());
+  readonly #pauseDetector = new PauseDetector(performance.now(), Date.now());
   readonly #activeEngines = new Set<string>();
-  readonly #fetches: FetchLimiter;
-  #lastRolesAt = Number.NEGATIVE_INFINITY;
+  readonly #fetchLimiter: FetchLimiter;
+  #rolesUpdatedAt = Number.NEGATIVE_INFINITY;
   readonly #roles: HolderRoles;
   #isStopping = false;
   #timer: ReturnType<typeof setTimeout> | undefined;
-  #tickAt = Number.POSITIVE_INFINITY;
+  #nextTickAt = Number.POSITIVE_INFINITY;
 
   constructor(options: EngineTaskOptions) {
     this.#options = options;
-    this.#fetches = new FetchLimiter(options);
+    this.#fetchLimiter = new FetchLimiter(options);
     this.#roles = new HolderRoles({
       fleet: options.fleet,
       seedIps: options.seedIps,
@@ -84,9 +84,9 @@
       selfId: options.selfId,
       termMs: options.termMs,
       fleet: options.fleet,
-      isOwnedLocally: (engineId) => this.#getHeld(engineId) !== undefined,
+      isOwnedLocally: (engineId) => this.#getOwned(engineId) !== undefined,
       isStopping: () => this.#isStopping,
-      listOwners: (now) => this.#listHolders(now),
+      listOwners: (now) => this.#listOwners(now),
       send: (peerId, message) => this.#send(peerId, message),
       sendOnce: (peerId, message) => {
         if (peerId === options.selfId) this.handleMessage(peerId, message);
@@ -99,33 +99,33 @@
     this.#scheduleTick(performance.now() + TICK_INTERVAL_MS);
   }
 
-  listHeldEngines(): string[] {
+  listOwnedEngines(): string[] {
     return [...this.#activeEngines].filter((engineId) =>
-      this.#holders.get(engineId)?.isHolding()
+      this.#owners.get(engineId)?.isHolding()
     );
   }
 
   /** Returns the engines that were held here since the start, undefined when that was long ago. */
-  listNewcomerHeld(now: Milliseconds): string[] | undefined {
+  listOwnedSinceStart(now: Milliseconds): string[] | undefined {
     return this.#roles.listNewcomerHeld(now);
   }
 
   countFetches(): number {
     let count = 0;
     for (const engineId of this.#activeEngines) {
-      count += this.#holders.get(engineId)?.countComing() ?? 0;
+      count += this.#owners.get(engineId)?.countComing() ?? 0;
     }
     return count;
   }
 
   /** Loads from the weight store that go at full speed together, as found here; undefined before any was seen. */
   getFullSpeedFetches(): number | undefined {
-    return this.#fetches.measuredLimit;
+    return this.#fetchLimiter.measuredLimit;
   }
 
   describe(): object {
     return Object.fromEntries(
-      [...this.#holders].map(([id, holder]) => [id, holder.describe()]),
+      [...this.#owners].map(([id, owner]) => [id, owner.describe()]),
     );
   }
 
@@ -134,10 +134,10 @@
    * fleet every living holder is known; in a large one some are not yet, and are
    * asked for unless there was none a moment ago.
    */
-  hasHolder(engineId: string): boolean {
+  canRequestPermit(engineId: string): boolean {
     const now = performance.now();
     const { fleet } = this.#options;
-    const isKnown = this.#getHeld(engineId) !== undefined ||
+    const isKnown = this.#getOwned(engineId) !== undefined ||
       fleet.findHolder(engineId, now) !== undefined;
     return isKnown ||
       (!fleet.isFullMesh() && !this.permits.isUnowned(engineId, now));
@@ -148,9 +148,9 @@
     const now = performance.now();
     let soonestMs = this.#options.termMs;
     for (const engineId of this.#activeEngines) {
-      const holder = this.#holders.get(engineId);
-      if (!holder || holder.isHolding()) continue;
-      soonestMs = Math.min(soonestMs, holder.estimateClaimMs(now));
+      const owner = this.#owners.get(engineId);
+      if (!owner || owner.isHolding()) continue;
+      soonestMs = Math.min(soonestMs, owner.estimateClaimMs(now));
     }
     return soonestMs;
   }
@@ -160,18 +160,18 @@
     this.#checkPause(now);
     switch (message.kind) {
       case "permitRequest":
-        this.#requestPermit(message.engineId, message.request, now);
+        this.#handlePermitRequest(message.engineId, message.request, now);
         break;
       case "permitAnswer":
         this.permits.settlePermit(message.engineId, message.answer, from);
         break;
       case "permitReleased":
-        this.#getHeld(message.engineId)
+        this.#getOwned(message.engineId)
           ?.desk.releasePermit(message.permitId, now);
         this.#pump(message.engineId, now);
         break;
       case "firstToken":
-        this.#getHeld(message.engineId)
+        this.#getOwned(message.engineId)
           ?.desk.recordFirstToken(message.permitId, now);
         this.#pump(message.engineId, now);
         break;
@@ -179,7 +179,7 @@
         this.#recordUnusable(from, message, now);
         break;
       case "runsHeld":
-        this.#getHeld(message.engineId)?.adoptRuns(from, message, now);
+        this.#getOwned(message.engineId)?.adoptRuns(from, message, now);
         this.#pump(message.engineId, now);
         break;
       case "handover":
@@ -191,7 +191,7 @@
   }
 
   /** Tells new holders of the runs here, as soon as a peer says that it is one. */
-  followHolders(now: Milliseconds): void {
+  notifyNewOwners(now: Milliseconds): void {
     this.permits.reportRunsToNewOwners(now);
   }
 
@@ -199,115 +199,115 @@
   async stop(): Promise<void> {
     this.#isStopping = true;
     clearTimeout(this.#timer);
-    await this.#endOrders();
+    await this.#awaitPendingOrders();
     const now = performance.now();
-    const sendings: Promise<boolean>[] = [];
-    for (const holder of this.#holders.values()) {
-      if (!holder.isHolding()) continue;
-      const { handover, effects } = holder.handOver(now);
-      this.#carryOut(effects);
-      const engine = this.#options.view.getUpstream(holder.engineId);
-      const next = engine &&
+    const deliveries: Promise<boolean>[] = [];
+    for (const owner of this.#owners.values()) {
+      if (!owner.isHolding()) continue;
+      const { handover, effects } = owner.handOver(now);
+      this.#runEffects(effects);
+      const engine = this.#options.view.getUpstream(owner.engineId);
+      const successor = engine &&
         this.#options.fleet.rankHolders(engine, true, now)[0];
-      if (!handover || !next) continue;
-      sendings.push(this.#options.deliver(next.id, {
+      if (!handover || !successor) continue;
+      deliveries.push(this.#options.deliver(successor.id, {
         kind: "handover",
-        engineId: holder.engineId,
+        engineId: owner.engineId,
         handover,
       }));
     }
-    await Promise.all(sendings);
+    await Promise.all(deliveries);
   }
 
   /** Waits for the orders under way, so that their engines can be handed over. */
-  async #endOrders(): Promise<void> {
-    const endsAt = performance.now() + LAST_ORDER_MS;
-    const isOrdering = () =>
-      [...this.#holders.values()].filter((holder) => holder.endOrders())
+  async #awaitPendingOrders(): Promise<void> {
+    const endsAt = performance.now() + LAST_ORDER_TIMEOUT_MS;
+    const hasPendingOrders = () =>
+      [...this.#owners.values()].filter((owner) => owner.endOrders())
         .length > 0;
-    while (isOrdering() && performance.now() < endsAt) {
-      await waitMs(LAST_ORDER_CHECK_MS);
+    while (hasPendingOrders() && performance.now() < endsAt) {
+      await waitMs(LAST_ORDER_POLL_INTERVAL_MS);
     }
   }
 
   /** Looks no later than at the given time. */
   #scheduleTick(at: Milliseconds): void {
-    if (this.#isStopping || at >= this.#tickAt) return;
+    if (this.#isStopping || at >= this.#nextTickAt) return;
     clearTimeout(this.#timer);
-    this.#tickAt = at;
-    const delayMs = Math.max(MIN_TICK_MS, at - performance.now());
+    this.#nextTickAt = at;
+    const delayMs = Math.max(MIN_TICK_DELAY_MS, at - performance.now());
     this.#timer = setTimeout(() => this.#tick(), delayMs);
   }
 
   #tick(): void {
     const now = performance.now();
-    this.#tickAt = Number.POSITIVE_INFINITY;
+    this.#nextTickAt = Number.POSITIVE_INFINITY;
     this.#checkPause(now);
     this.permits.retryUndeliveredReturns(now);
     this.permits.reportRunsToNewOwners(now);
     this.#updateRoles(now);
     for (const engineId of this.#activeEngines) {
-      const holder = this.#holders.get(engineId);
-      if (!holder) continue;
-      this.#carryOut(holder.tick(this.#describeSituation(holder, now), now));
-      this.#roles.recordHeld(holder, now);
-      this.#scheduleTick(holder.getNextDueAt());
+      const owner = this.#owners.get(engineId);
+      if (!owner) continue;
+      this.#runEffects(owner.tick(this.#describeSituation(owner, now), now));
+      this.#roles.recordHeld(owner, now);
+      this.#scheduleTick(owner.getNextDueAt());
     }
     this.#scheduleTick(now + TICK_INTERVAL_MS);
   }
 
   /** After a pause, holders prove their right anew before they load anything. */
   #checkPause(now: Milliseconds): void {
-    if (!this.#pauses.hasPaused(now, Date.now())) return;
-    this.#options.log.warn("pauseDetected", { held: this.listHeldEngines() });
+    if (!this.#pauseDetector.hasPaused(now, Date.now())) return;
+    this.#options.log.warn("pauseDetected", { held: this.listOwnedEngines() });
     this.#options.metrics.count("pauses", "holder");
-    for (const holder of this.#holders.values()) holder.recordPause();
+    for (const owner of this.#owners.values()) owner.recordPause();
   }
 
   /** Finds the engines that this daemon holds, should hold or should observe. */
   #updateRoles(now: Milliseconds): void {
-    if (now - this.#lastRolesAt < ROLES_INTERVAL_MS) return;
-    this.#lastRolesAt = now;
-    this.#followView();
-    this.#fetches.recordPeerLimits(now);
+    if (now - this.#rolesUpdatedAt < ROLES_INTERVAL_MS) return;
+    this.#rolesUpdatedAt = now;
+    this.#reconcileOwners();
+    this.#fetchLimiter.recordPeerLimits(now);
     this.#activeEngines.clear();
     const fetchShare = this.#computeFetchShare(now);
-    for (const holder of this.#holders.values()) {
+    for (const owner of this.#owners.values()) {
       const { isWanted, isCandidate } = this.#describeSituation(
-        holder,
+        owner,
         now,
         fetchShare,
       );
-      const isActive = isWanted || isCandidate || holder.isHolding();
-      if (isActive) this.#activeEngines.add(holder.engineId);
+      const isActive = isWanted || isCandidate || owner.isHolding();
+      if (isActive) this.#activeEngines.add(owner.engineId);
     }
   }
 
   /** Keeps a holder for each engine, and none for those that are gone. */
-  #followView(): void {
-    const { view, termMs, fences } = this.#options;
+  #reconcileOwners(): void {
+    const { view, termMs, fenceClock: fenceClock } = this.#options;
     const engines = view.listEngines();
     const ids = new Set(engines.map((engine) => engine.id));
-    this.#fetches.setEngineCount(engines.length);
-    for (const id of this.#holders.keys()) {
-      if (!ids.has(id)) this.#holders.delete(id);
+    this.#fetchLimiter.setEngineCount(engines.length);
+    for (const id of this.#owners.keys()) {
+      if (!ids.has(id)) this.#owners.delete(id);
     }
     for (const engine of engines) {
       const limits = view.getService(engine.service)?.engine;
       if (!limits) continue;
-      const known = this.#holders.get(engine.id);
-      if (known) {
-        known.setLimits(limits);
-        known.recordRegistration(engine.bornAtUnixMs);
+      const existing = this.#owners.get(engine.id);
+      if (existing) {
+        existing.setLimits(limits);
+        existing.recordRegistration(engine.bornAtUnixMs);
       } else {
-        this.#holders.set(
+        this.#owners.set(
           engine.id,
           new EngineHolder({
             selfId: this.#options.selfId,
             engineId: engine.id,
             limits,
             termMs,
-            drawFence: () => fences.drawFence(Date.now()),
+            drawFence: () => fenceClock.drawFence(Date.now()),
             listRivals: () =>
               this.#options.fleet.listRivals(engine, performance.now()),
             selectOwnAdapter: (model) =>
@@ -319,22 +319,22 @@
   }
 
   #describeSituation(
-    holder: EngineHolder,
+    owner: EngineHolder,
     now: Milliseconds,
     fetchShare = this.#computeFetchShare(now),
   ): HolderSituation {
     return this.#roles.describeSituation({
-      engine: this.#options.view.getUpstream(holder.engineId),
-      holder,
+      engine: this.#options.view.getUpstream(owner.engineId),
+      holder: owner,
       fetchShare,
       isStopping: this.#isStopping,
     }, now);
   }
 
   #computeFetchShare(now: Milliseconds): FetchShare {
-    return this.#fetches.computeShare({
+    return this.#fetchLimiter.computeShare({
       fetches: this.countFetches(),
-      heldEngines: this.listHeldEngines().length,
+      heldEngines: this.listOwnedEngines().length,
     }, now);
   }
 
@@ -350,22 +350,22 @@
       : control.formatAdapterName(hashText(`${selfId} ${engineId}`) % count);
   }
 
-  #requestPermit(
+  #handlePermitRequest(
     engineId: string,
     request: PermitRequest,
     now: Milliseconds,
   ): void {
-    const holder = this.#getHeld(engineId);
-    if (!holder || this.#options.view.getUpstream(engineId)?.isLeaving) {
-      this.#refuseAsNotHolder(engineId, request, now);
+    const owner = this.#getOwned(engineId);
+    if (!owner || this.#options.view.getUpstream(engineId)?.isLeaving) {
+      this.#refuseAsNotOwner(engineId, request, now);
       return;
     }
-    this.#carryOut(holder.requestPermit(request, now), request.permitId);
+    this.#runEffects(owner.requestPermit(request, now), request.permitId);
     this.#pump(engineId, now);
   }
 
   /** Tells the daemon that asks who holds the engine, and when nobody does, from when it may be claimed. */
-  #refuseAsNotHolder(
+  #refuseAsNotOwner(
     engineId: string,
     request: PermitRequest,
     now: Milliseconds,
@@ -375,12 +375,12 @@
       permitId: request.permitId,
       holder: request.holder,
       reason: DenialReason.NotOwner,
-      retryAfterMs: this.#holders.get(engineId)?.estimateClaimMs(now) ??
+      retryAfterMs: this.#owners.get(engineId)?.estimateClaimMs(now) ??
         this.#options.termMs,
     };
-    const knownHolder = this.#options.fleet.findHolder(engineId, now);
-    if (knownHolder !== undefined) answer.knownHolder = knownHolder;
-    this.#carryOut(
+    const knownOwner = this.#options.fleet.findHolder(engineId, now);
+    if (knownOwner !== undefined) answer.knownHolder = knownOwner;
+    this.#runEffects(
       [{ kind: "answerPermit", engineId, answer }],
       request.permitId,
     );
@@ -391,9 +391,9 @@
     message: Extract<GatewayMessage, { kind: "permitUnusable" }>,
     now: Milliseconds,
   ): void {
-    const holder = this.#getHeld(message.engineId);
-    if (!holder) return;
-    holder.recordUnusable({ ...message, holder: from }, now);
+    const owner = this.#getOwned(message.engineId);
+    if (!owner) return;
+    owner.recordUnusable({ ...message, holder: from }, now);
     this.#pump(message.engineId, now);
   }
 
@@ -403,47 +403,50 @@
     handover: Extract<GatewayMessage, { kind: "handover" }>["handover"],
     now: Milliseconds,
   ): void {
-    this.#followView();
-    const holder = this.#holders.get(engineId);
+    this.#reconcileOwners();
+    const owner = this.#owners.get(engineId);
     this.#options.log.info("handoverReceived", {
       upstream: engineId,
       peer: from,
-      isKnown: holder !== undefined,
+      isKnown: owner !== undefined,
     });
-    if (!holder) return;
+    if (!owner) return;
     this.#activeEngines.add(engineId);
-    this.#carryOut(holder.acceptHandover(handover, now));
-    this.#roles.recordHeld(holder, now);
+    this.#runEffects(owner.acceptHandover(handover, now));
+    this.#roles.recordHeld(owner, now);
   }
 
   #pump(engineId: string, now: Milliseconds): void {
-    const holder = this.#getHeld(engineId);
-    if (!holder) return;
-    this.#fetches.recordLoads(holder, now);
-    this.#carryOut(holder.pump(this.#describeSituation(holder, now), now));
-    this.#scheduleTick(holder.getNextDueAt());
+    const owner = this.#getOwned(engineId);
+    if (!owner) return;
+    this.#fetchLimiter.recordLoads(owner, now);
+    this.#runEffects(owner.pump(this.#describeSituation(owner, now), now));
+    this.#scheduleTick(owner.getNextDueAt());
   }
 
   /** Returns who gives each engine's orders; what this daemon holds goes before others' word. */
-  #listHolders(now: Milliseconds): ReadonlyMap<string, string> {
-    const holders = new Map(this.#options.fleet.listHolders(now));
-    for (const engineId of this.listHeldEngines()) {
-      holders.set(engineId, this.#options.selfId);
+  #listOwners(now: Milliseconds): ReadonlyMap<string, string> {
+    const owners = new Map(this.#options.fleet.listHolders(now));
+    for (const engineId of this.listOwnedEngines()) {
+      owners.set(engineId, this.#options.selfId);
     }
-    return holders;
+    return owners;
   }
 
-  #getHeld(engineId: string): EngineHolder | undefined {
-    const holder = this.#holders.get(engineId);
-    return holder?.isHolding() ? holder : undefined;
+  #getOwned(engineId: string): EngineHolder | undefined {
+    const owner = this.#owners.get(engineId);
+    return owner?.isHolding() ? owner : undefined;
   }
 
-  /** @param askedPermitId permit that was asked for in this turn: where its answer is lost it is asked for again. */
-  #carryOut(effects: readonly HolderEffect[], askedPermitId?: string): void {
+  /** @param requestedPermitId permit that was asked for in this turn: where its answer is lost it is asked for again. */
+  #runEffects(
+    effects: readonly HolderEffect[],
+    requestedPermitId?: string,
+  ): void {
     for (const effect of effects) {
       switch (effect.kind) {
         case "answerPermit":
-          this.#sendAnswer(effect, askedPermitId);
+          this.#sendAnswer(effect, requestedPermitId);
           break;
         case "readReport":
           void this.#readReport(effect.engineId);
@@ -453,7 +456,7 @@
           break;
         case "belief":
           this.#options.metrics.count("holder_belief", effect.change);
-          if (effect.isTakeover) this.#options.announce();
+          if (effect.isTakeover) this.#options.announceOwnership();
           this.#options.log.info("engineBelief", {
             upstream: effect.engineId,
             change: effect.change,
@@ -466,11 +469,11 @@
 
   async #readReport(engineId: string): Promise<void> {
     const { view, control, log } = this.#options;
-    const holder = this.#holders.get(engineId);
+    const owner = this.#owners.get(engineId);
     const engine = view.getUpstream(engineId);
-    if (!holder) return;
+    if (!owner) return;
     if (!engine) {
-      holder.recordReportFailure();
+      owner.recordReportFailure();
       return;
     }
     try {
@@ -481,10 +484,10 @@
           bornAtUnixMs: engine.bornAtUnixMs,
         });
       }
-      this.#carryOut(holder.recordReport(report, performance.now()));
+      this.#runEffects(owner.recordReport(report, performance.now()));
       this.#pump(engineId, performance.now());
     } catch (error) {
-      holder.recordReportFailure();
+      owner.recordReportFailure();
       log.info("reportUnread", {
         upstream: engineId,
         detail: describeStep(error),
@@ -497,7 +500,7 @@
   ): Promise<void> {
     const { view, control, selfId, log, metrics } = this.#options;
     const { engineId, order, fence, expectedSequence } = effect;
-    const holder = this.#holders.get(engineId);
+    const owner = this.#owners.get(engineId);
     const engine = view.getUpstream(engineId);
     const { model, adapter } = order;
     const version = order.kind === "load" ? order.version : undefined;
@@ -519,18 +522,18 @@
       outcome: answer.kind,
     });
     const now = performance.now();
-    if (!holder) return;
-    this.#carryOut(holder.recordOrderAnswer(answer, now));
+    if (!owner) return;
+    this.#runEffects(owner.recordOrderAnswer(answer, now));
     this.#pump(engineId, now);
   }
 
   #sendAnswer(
     { engineId, answer }: Extract<HolderEffect, { kind: "answerPermit" }>,
-    askedPermitId: string | undefined,
+    requestedPermitId: string | undefined,
   ): void {
     const message: GatewayMessage = { kind: "permitAnswer", engineId, answer };
     const isRemote = answer.holder !== this.#options.selfId;
-    if (isRemote && answer.permitId === askedPermitId) {
+    if (isRemote && answer.permitId === requestedPermitId) {
       this.#options.sendOnce(answer.holder, message);
     } else void this.#send(answer.holder, message);
   }
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -32,7 +32,7 @@
 import type { RequestContext } from "./request_context.ts";
 import { UpstreamClient } from "./upstream_client.ts";
 import { waitMs } from "./wait.ts";
-import { ViewFollower } from "./view_follower.ts";
+import { ViewSynchronizer } from "./view_follower.ts";
 
 /** Crashes of upstreams after which a request is refused. */
 const MAX_STRIKES = 4;
@@ -43,19 +43,19 @@
 /** Failing upstreams named in one heartbeat, so that it stays one datagram. */
 const MAX_HEARTBEAT_FAILING = 12;
 /** Time for which news is gathered before peers are told. */
-const NEWS_DELAY_MS = 30;
+const HEARTBEAT_COALESCE_MS = 30;
 /** Gap between heartbeats from which this process is taken to have been paused. */
 const PAUSE_THRESHOLD_MS = 2_500;
 /** Time after the notice of a stop in which the balancer learns of it: two questions a second apart. */
-const UNREADY_NOTICE_MS = 2_500;
+const READINESS_PROPAGATION_MS = 2_500;
 /** Length up to which an answer is always taken in: the users' are some KB long. */
-const FREE_ANSWER_BYTES = 64 * 1024;
+const UNCOUNTED_ANSWER_BYTES = 64 * 1024;
 /** Bound on what longer answers take together: a tenth of the smallest hosts' 250 MB. */
-const SHARED_ANSWER_BYTES = 24 * 1024 * 1024;
+const ANSWER_BUDGET_BYTES = 24 * 1024 * 1024;
 /** Period in which a stopping gateway looks whether it is idle. */
-const DRAIN_CHECK_MS = 50;
+const DRAIN_POLL_INTERVAL_MS = 50;
 
-export interface GatewayAdapters {
+export interface GatewayPlatform {
   dialect: HeaderCodec;
   decoder: ChangeDecoder;
   createStore: (address: string) => PublishedStore;
@@ -68,35 +68,35 @@
   readonly #metrics = new GatewayMetrics();
   readonly #view = new PublishedView();
   readonly #fleet: FleetView;
-  readonly #fences: FenceClock;
+  readonly #fenceClock: FenceClock;
   readonly #health = new UpstreamHealth();
   readonly #quarantine = new CrashQuarantine({
     maxStrikes: MAX_STRIKES,
     strikeLifetimeMs: STRIKE_LIFETIME_MS,
   });
   readonly #peers: PeerTask;
-  readonly #follower: ViewFollower;
+  readonly #viewSynchronizer: ViewSynchronizer;
   readonly #engines: EngineTask;
-  readonly #upstreams = new UpstreamClient();
+  readonly #upstreamClient = new UpstreamClient();
   readonly #callers: CallerTask;
   readonly #incarnation = randomBytes(6).toString("hex");
   readonly #dialect: HeaderCodec;
-  #readiness: Server | undefined;
+  #readinessServer: Server | undefined;
   #timer: ReturnType<typeof setTimeout> | undefined;
   readonly #startedAt = performance.now();
-  #lastBeatAt = performance.now();
+  #lastHeartbeatAt = performance.now();
   #isReady = false;
-  #isBeatDue = false;
+  #isHeartbeatScheduled = false;
   #isStopping = false;
 
-  constructor(settings: GatewaySettings, adapters: GatewayAdapters) {
+  constructor(settings: GatewaySettings, platform: GatewayPlatform) {
     const { host, failureDomain, peers } = settings;
     this.#settings = settings;
-    this.#dialect = adapters.dialect;
+    this.#dialect = platform.dialect;
     this.#log = new DecisionLog(host, settings.logLevel);
     const { host: ip, port } = parseAddress(peers.listen);
     this.#fleet = new FleetView({ id: host, ip, failureDomain }, Date.now());
-    this.#fences = new FenceClock(host);
+    this.#fenceClock = new FenceClock(host);
     this.#peers = new PeerTask({
       selfId: host,
       incarnation: this.#incarnation,
@@ -106,18 +106,18 @@
       metrics: this.#metrics,
       handle: (from, message) => this.#handleMessage(from, message),
     });
-    this.#follower = new ViewFollower({
-      store: adapters.createStore(settings.store.address),
-      decoder: adapters.decoder,
+    this.#viewSynchronizer = new ViewSynchronizer({
+      store: platform.createStore(settings.store.address),
+      decoder: platform.decoder,
       view: this.#view,
       fleet: this.#fleet,
       log: this.#log,
       metrics: this.#metrics,
       leavingMs: settings.store.leavingMs,
       listen: { ip, port },
-      handleNews: () => {
+      handleChange: () => {
         this.#callers.applyLimits();
-        this.#scheduleHeartbeat();
+        this.#scheduleEarlyHeartbeats();
       },
     });
     this.#engines = new EngineTask({
@@ -126,11 +126,11 @@
       view: this.#view,
       fleet: this.#fleet,
       seedIps: settings.peers.seeds.map((seed) => parseAddress(seed).host),
-      fences: this.#fences,
-      control: adapters.createEngineControl(),
+      fenceClock: this.#fenceClock,
+      control: platform.createEngineControl(),
       log: this.#log,
       metrics: this.#metrics,
-      announce: () => this.#scheduleHeartbeat(),
+      announceOwnership: () => this.#scheduleEarlyHeartbeats(),
       deliver: (peerId, message) => this.#deliver(peerId, message),
       sendOnce: (peerId, message) => {
         const member = this.#fleet.getMember(peerId);
@@ -140,7 +140,7 @@
     const context: RequestContext = {
       selfId: host,
       failureDomain,
-      headerCodec: adapters.dialect,
+      headerCodec: platform.dialect,
       view: this.#view,
       fleet: this.#fleet,
       health: this.#health,
@@ -148,13 +148,13 @@
       reachability: new DomainReachability(),
       demand: new AdapterDemand(),
       responseMemory: new AnswerMemory({
-        freeBytes: FREE_ANSWER_BYTES,
-        sharedBytes: SHARED_ANSWER_BYTES,
+        freeBytes: UNCOUNTED_ANSWER_BYTES,
+        sharedBytes: ANSWER_BUDGET_BYTES,
       }),
       retryBudget: new RepeatAllowance(settings.repeats),
       quarantine: this.#quarantine,
       serviceLoads: new Map(),
-      upstreams: this.#upstreams,
+      upstreams: this.#upstreamClient,
       engines: this.#engines,
       log: this.#log,
       metrics: this.#metrics,
@@ -165,13 +165,13 @@
   async start(): Promise<void> {
     const { callers, readiness, metrics, failureDomain } = this.#settings;
     await this.#peers.listen();
-    await this.#follower.start();
+    await this.#viewSynchronizer.start();
     this.#engines.start();
-    const front = parseAddress(callers.listen);
-    await this.#callers.listen(front.host, front.port);
+    const callerAddress = parseAddress(callers.listen);
+    await this.#callers.listen(callerAddress.host, callerAddress.port);
     await this.#listenForReadiness(readiness.listen);
-    if (metrics) await this.#metrics.listen(front.host, metrics.port);
-    this.#scheduleHeartbeats();
+    if (metrics) await this.#metrics.listen(callerAddress.host, metrics.port);
+    this.#scheduleNextHeartbeats();
     this.#sendHeartbeats();
     this.#log.info("started", {
       failureDomain,
@@ -190,21 +190,21 @@
     this.#callers.beginStop(startedAt, startedAt + graceMs - exitReserveMs);
     this.#sendHeartbeats();
     await this.#engines.stop();
-    await waitMs(Math.min(UNREADY_NOTICE_MS, graceMs / 2));
+    await waitMs(Math.min(READINESS_PROPAGATION_MS, graceMs / 2));
     const endsAt = startedAt + graceMs - exitReserveMs;
     while (performance.now() < endsAt) {
       this.#callers.closeIdleConnections();
       if (this.#callers.inFlight === 0) break;
-      await waitMs(DRAIN_CHECK_MS);
+      await waitMs(DRAIN_POLL_INTERVAL_MS);
     }
     this.#log.info("stopped", { inFlight: this.#callers.inFlight });
     clearTimeout(this.#timer);
     this.#timer = undefined;
     this.#callers.close();
-    this.#follower.stop();
+    this.#viewSynchronizer.stop();
     this.#peers.close();
     this.#metrics.close();
-    this.#upstreams.close();
+    this.#upstreamClient.close();
     this.#log.flush();
   }
 
@@ -228,11 +228,11 @@
   #listenForReadiness(address: string): Promise<void> {
     const { host, port } = parseAddress(address);
     const server = createServer((request, response) => {
-      const isAsked = request.url === this.#dialect.readyPath;
-      const status = !isAsked ? 404 : this.#updateReady() ? 200 : 503;
+      const isReadyPath = request.url === this.#dialect.readyPath;
+      const status = !isReadyPath ? 404 : this.#updateReadiness() ? 200 : 503;
       response.writeHead(status, { "Content-Length": 0 }).end();
     });
-    this.#readiness = server;
+    this.#readinessServer = server;
     server.unref();
     return new Promise((resolve, reject) => {
       server.once("error", reject);
@@ -240,7 +240,7 @@
     });
   }
 
-  #updateReady(): boolean {
+  #updateReadiness(): boolean {
     const isReady = !this.#isStopping && this.#view.configuration !== undefined;
     if (isReady !== this.#isReady) {
       this.#isReady = isReady;
@@ -253,10 +253,10 @@
     return isReady;
   }
 
-  #scheduleHeartbeats(): void {
+  #scheduleNextHeartbeats(): void {
     this.#timer = setTimeout(() => {
       this.#sendHeartbeats();
-      this.#scheduleHeartbeats();
+      this.#scheduleNextHeartbeats();
     }, this.#getHeartbeatIntervalMs());
   }
 
@@ -267,8 +267,8 @@
 
   #sendHeartbeats(): void {
     const now = performance.now();
-    const sinceLastMs = now - this.#lastBeatAt;
-    this.#lastBeatAt = now;
+    const sinceLastMs = now - this.#lastHeartbeatAt;
+    this.#lastHeartbeatAt = now;
     if (sinceLastMs > PAUSE_THRESHOLD_MS) {
       this.#log.warn("pauseDetected", { sinceLastMs: Math.round(sinceLastMs) });
       this.#metrics.count("pauses", "process");
@@ -277,33 +277,33 @@
     const targets = this.#fleet.selectTargets(now);
     const seeds = this.#settings.peers.seeds
       .map((seed) => parseAddress(seed).host);
-    const isPromised = new Map(
+    const promisedByIp = new Map(
       targets.map((target) => [target.member.ip, target.isPromised]),
     );
-    if (isPromised.size < seeds.length) {
+    if (promisedByIp.size < seeds.length) {
       for (const ip of seeds) {
-        if (!isPromised.has(ip)) isPromised.set(ip, false);
+        if (!promisedByIp.has(ip)) promisedByIp.set(ip, false);
       }
     }
-    isPromised.delete(this.#fleet.self.ip);
+    promisedByIp.delete(this.#fleet.self.ip);
     const heartbeats = new Map<boolean, GatewayMessage>();
-    for (const [ip, isDue] of isPromised) {
-      const heartbeat = heartbeats.get(isDue) ??
-        this.#buildHeartbeat(isDue, now);
-      heartbeats.set(isDue, heartbeat);
+    for (const [ip, isPromised] of promisedByIp) {
+      const heartbeat = heartbeats.get(isPromised) ??
+        this.#buildHeartbeat(isPromised, now);
+      heartbeats.set(isPromised, heartbeat);
       this.#peers.send(ip, heartbeat);
     }
     this.#updateGauges(now);
   }
 
   /** Tells peers of news without waiting for the next period. */
-  #scheduleHeartbeat(): void {
-    if (this.#isBeatDue) return;
-    this.#isBeatDue = true;
+  #scheduleEarlyHeartbeats(): void {
+    if (this.#isHeartbeatScheduled) return;
+    this.#isHeartbeatScheduled = true;
     setTimeout(() => {
-      this.#isBeatDue = false;
+      this.#isHeartbeatScheduled = false;
       if (this.#timer) this.#sendHeartbeats();
-    }, NEWS_DELAY_MS);
+    }, HEARTBEAT_COALESCE_MS);
   }
 
   #buildHeartbeat(isPromised: boolean, now: number): GatewayMessage {
@@ -322,14 +322,14 @@
       beat: this.#fleet.beat,
       isLeaving: this.#isStopping,
       promisedMs: this.#fleet.getPromisedMs(isPromised),
-      hasStore: this.#follower.hasStore(),
-      revisions: this.#follower.getRevisions(),
-      heldEngines: this.#engines.listHeldEngines(),
-      newcomerHeld: this.#engines.listNewcomerHeld(now),
+      hasStore: this.#viewSynchronizer.isStoreReachable(),
+      revisions: this.#viewSynchronizer.getRevisions(),
+      heldEngines: this.#engines.listOwnedEngines(),
+      newcomerHeld: this.#engines.listOwnedSinceStart(now),
       fetchesInFlight: this.#engines.countFetches(),
       fullSpeedFetches: this.#engines.getFullSpeedFetches(),
       failing: failing.length > 0 ? failing : undefined,
-      fenceUnixMs: this.#fences.highestMs,
+      fenceUnixMs: this.#fenceClock.highestMs,
       sample: this.#fleet.selectSample(isPromised, now),
       strikes: this.#quarantine.getDigests(now)
         .slice(-MAX_HEARTBEAT_STRIKES)
@@ -343,7 +343,7 @@
     this.#metrics.setGauge("requests_in_flight", this.#callers.inFlight);
     this.#metrics.setGauge(
       "held_engines",
-      this.#engines.listHeldEngines().length,
+      this.#engines.listOwnedEngines().length,
     );
     this.#metrics.setGauge(
       "configuration_version",
@@ -358,7 +358,7 @@
     }
     const now = performance.now();
     const { heartbeat } = message;
-    this.#fences.recordHeard(heartbeat.fenceUnixMs);
+    this.#fenceClock.recordHeard(heartbeat.fenceUnixMs);
     this.#quarantine.mergeDigests(
       heartbeat.strikes.map((strike) => ({
         ...strike,
@@ -366,10 +366,10 @@
       })),
       now,
     );
-    const isNews = this.#fleet.recordHeartbeat(heartbeat, now);
-    this.#engines.followHolders(now);
+    const isNew = this.#fleet.recordHeartbeat(heartbeat, now);
+    this.#engines.notifyNewOwners(now);
     this.#health.recordReports(this.#fleet.listFailing(now));
-    if (!isNews) return;
+    if (!isNew) return;
     this.#log.info("peerHeard", {
       peer: from,
       incarnation: heartbeat.incarnation,
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -74,7 +74,7 @@
   }
 
   /** Records a time span of a kind of request. */
-  measure(name: GatewayMetric, kind: string, spanMs: Milliseconds): void {
+  measure(name: GatewayMetric, kind: string, durationMs: Milliseconds): void {
     let histogram = this.#histograms.get(name);
     if (!histogram) {
       histogram = new Histogram({
@@ -86,7 +86,7 @@
       });
       this.#histograms.set(name, histogram);
     }
-    histogram.observe({ kind }, spanMs);
+    histogram.observe({ kind }, durationMs);
   }
 
   setGauge(name: GatewayMetric, value: number): void {
--- a/src/gateway/peer_batch.ts
+++ b/src/gateway/peer_batch.ts
@@ -8,7 +8,7 @@
 import type { StoreBatch } from "../core/view/store_mirror.ts";
 
 /** Longest batch that is unpacked: entries of 900 hosts' upstreams, or a configuration of 4 MB in base64. */
-const MAX_UNPACKED_BYTES = 24 * 1024 * 1024;
+const MAX_DECOMPRESSED_BYTES = 24 * 1024 * 1024;
 
 /** What a peer answers. */
 export interface PeerBatch {
@@ -29,27 +29,29 @@
   isAfterOutage: z.boolean(),
 });
 
-export function encodePeerBatch(told: PeerBatch): Buffer {
-  return gzipSync(JSON.stringify(changeEncoding(told, "base64", "latin1")));
+export function encodePeerBatch(peerBatch: PeerBatch): Buffer {
+  return gzipSync(
+    JSON.stringify(changeEncoding(peerBatch, "base64", "latin1")),
+  );
 }
 
 /** Throws where the bytes are no packed batch, or too long a one. */
 export function decodePeerBatch(bytes: Buffer): PeerBatch {
-  const text = gunzipSync(bytes, { maxOutputLength: MAX_UNPACKED_BYTES });
-  const told = peerBatchSchema.parse(JSON.parse(text.toString()));
-  return changeEncoding(told, "latin1", "base64");
+  const text = gunzipSync(bytes, { maxOutputLength: MAX_DECOMPRESSED_BYTES });
+  const peerBatch = peerBatchSchema.parse(JSON.parse(text.toString()));
+  return changeEncoding(peerBatch, "latin1", "base64");
 }
 
 function changeEncoding(
-  told: z.infer<typeof peerBatchSchema>,
+  peerBatch: z.infer<typeof peerBatchSchema>,
   from: BufferEncoding,
   to: BufferEncoding,
 ): PeerBatch {
-  const changes = told.batch.changes.map((change) => ({
+  const changes = peerBatch.batch.changes.map((change) => ({
     ...change,
     value: change.value === undefined
       ? undefined
       : Buffer.from(change.value, from).toString(to),
   }));
-  return { ...told, batch: { ...told.batch, changes } };
+  return { ...peerBatch, batch: { ...peerBatch.batch, changes } };
 }
--- a/src/gateway/peer_message_decoder.ts
+++ b/src/gateway/peer_message_decoder.ts
@@ -178,7 +178,7 @@
   const parsed = envelopeSchema.safeParse(value);
   if (!parsed.success) return Err(classifyInvalid(value));
   const envelope = parsed.data;
-  return isSpeakingForItself(envelope)
+  return hasMatchingSender(envelope)
     ? Ok(envelope)
     : Err(DropReason.ForeignSender);
 }
@@ -191,7 +191,7 @@
 }
 
 /** Heartbeats and questions name their sender once more: an answer goes to that name. */
-function isSpeakingForItself({ from, message }: Envelope): boolean {
+function hasMatchingSender({ from, message }: Envelope): boolean {
   switch (message?.kind) {
     case "heartbeat":
       return message.heartbeat.sender.id === from;
--- a/src/gateway/peer_task.ts
+++ b/src/gateway/peer_task.ts
@@ -19,9 +19,9 @@
 import type { GatewayMessage } from "./peer_messages.ts";
 
 /** Times after the first sending at which a message is sent again: loss is rare, a way takes milliseconds. */
-const RESEND_AFTER_MS: readonly Milliseconds[] = [25, 60, 120, 250];
+const RESEND_OFFSETS_MS: readonly Milliseconds[] = [25, 60, 120, 250];
 /** Numbers of messages remembered, so that a repeated one is handled once. */
-const MAX_REMEMBERED = 4_000;
+const MAX_SEEN_MESSAGES = 4_000;
 /** Time between two log lines on datagrams dropped for one reason: anybody may send any number of them. */
 const DROP_LOG_INTERVAL_MS = 1_000;
 
@@ -44,12 +44,12 @@
   readonly #options: PeerTaskOptions;
   readonly #socket: Socket = createSocket({
     type: "udp4",
-    lookup: returnAddress,
+    lookup: returnLiteralAddress,
   });
   readonly #pending = new Map<number, PendingMessage>();
-  readonly #seen = new Set<string>();
+  readonly #seenMessages = new Set<string>();
   /** Numbers to acknowledge, by the sender's IP; they go with a message that answers at once, or alone. */
-  readonly #dueAcks = new Map<string, number[]>();
+  readonly #pendingAcks = new Map<string, number[]>();
   #ackTimer: ReturnType<typeof setImmediate> | undefined;
   readonly #dropsLoggedAt = new Map<DropReason, Milliseconds>();
   #lastNumber = 0;
@@ -91,7 +91,7 @@
     const number = this.#lastNumber;
     const bytes = this.#encode(ip, { message, number });
     return new Promise((resolve) => {
-      let sent = 0;
+      let sendCount = 0;
       const startedAt = performance.now();
       const settle = (isDelivered: boolean): void => {
         clearTimeout(this.#pending.get(number)?.timer);
@@ -100,10 +100,10 @@
       };
       const sendNext = (): void => {
         this.#write(ip, bytes);
-        const waitUntil = RESEND_AFTER_MS[sent];
-        sent += 1;
-        if (waitUntil === undefined) return settle(false);
-        const waitMs = startedAt + waitUntil - performance.now();
+        const offsetMs = RESEND_OFFSETS_MS[sendCount];
+        sendCount += 1;
+        if (offsetMs === undefined) return settle(false);
+        const waitMs = startedAt + offsetMs - performance.now();
         const timer = setTimeout(sendNext, Math.max(5, waitMs));
         this.#pending.set(number, { timer, settle });
       };
@@ -121,9 +121,9 @@
   #encode(ip: string, part: Partial<Envelope>): Buffer {
     const { selfId, incarnation } = this.#options;
     const envelope: Envelope = { from: selfId, incarnation, ...part };
-    const acknowledges = this.#dueAcks.get(ip);
+    const acknowledges = this.#pendingAcks.get(ip);
     if (acknowledges) envelope.acknowledges = acknowledges;
-    this.#dueAcks.delete(ip);
+    this.#pendingAcks.delete(ip);
     return Buffer.from(JSON.stringify(envelope));
   }
 
@@ -150,8 +150,8 @@
     if (!message) return;
     if (number !== undefined) {
       this.#scheduleAck(ip, number);
-      const isNew = this.#remember(`${incarnation}:${number}`);
-      if (!isNew && !isRepeatable(message)) return;
+      const isNew = this.#recordSeen(`${incarnation}:${number}`);
+      if (!isNew && !needsRepeatedAnswer(message)) return;
     }
     try {
       this.#options.handle(from, message);
@@ -179,35 +179,35 @@
   }
 
   #scheduleAck(ip: string, number: number): void {
-    this.#dueAcks.set(ip, [...this.#dueAcks.get(ip) ?? [], number]);
+    this.#pendingAcks.set(ip, [...this.#pendingAcks.get(ip) ?? [], number]);
     // Still in this turn of the loop: a timer would wake the process once more.
     this.#ackTimer ??= setImmediate(() => {
       this.#ackTimer = undefined;
-      for (const due of [...this.#dueAcks.keys()]) {
-        this.#write(due, this.#encode(due, {}));
+      for (const peerIp of [...this.#pendingAcks.keys()]) {
+        this.#write(peerIp, this.#encode(peerIp, {}));
       }
     });
   }
 
   /** Returns whether the message has not been seen yet. */
-  #remember(key: string): boolean {
-    if (this.#seen.has(key)) return false;
-    this.#seen.add(key);
-    if (this.#seen.size > MAX_REMEMBERED) {
-      const [oldest] = this.#seen;
-      if (oldest !== undefined) this.#seen.delete(oldest);
+  #recordSeen(key: string): boolean {
+    if (this.#seenMessages.has(key)) return false;
+    this.#seenMessages.add(key);
+    if (this.#seenMessages.size > MAX_SEEN_MESSAGES) {
+      const [oldest] = this.#seenMessages;
+      if (oldest !== undefined) this.#seenMessages.delete(oldest);
     }
     return true;
   }
 }
 
 /** A question that comes again is answered again: its first answer may have been lost with the acknowledgement. */
-function isRepeatable(message: GatewayMessage): boolean {
+function needsRepeatedAnswer(message: GatewayMessage): boolean {
   return message.kind === "permitRequest";
 }
 
 /** Peers are named by their addresses: the way through name look-up is half of what a datagram costs. */
-function returnAddress(
+function returnLiteralAddress(
   address: string,
   _options: object,
   callback: (error: null, address: string, family: number) => void,
--- a/src/gateway/view_follower.ts
+++ b/src/gateway/view_follower.ts
@@ -5,7 +5,7 @@
 import { Agent, createServer, type Server } from "node:http";
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import type { Milliseconds } from "../core/structures.ts";
-import { CatchUp } from "../core/view/catch_up.ts";
+import { SyncPeerSelector } from "../core/view/catch_up.ts";
 import type { PublishedView } from "../core/view/published_view.ts";
 import { type StoreBatch, StoreMirror } from "../core/view/store_mirror.ts";
 import { describeError, describeStep } from "../daemon/step_error.ts";
@@ -21,25 +21,25 @@
 import { waitMs } from "./wait.ts";
 
 /** Wait of one watch: bounds how long a silent connection goes unnoticed. */
-const WATCH_WAIT_MS = 2_000;
+const WATCH_TIMEOUT_MS = 2_000;
 /** Pause after a failed call to the store. */
-const RETRY_MS = 250;
+const RETRY_DELAY_MS = 250;
 /** Pause after changes of the configuration, so that those that follow come in one answer. */
-const GATHER_MS = 200;
+const CONFIGURATION_COALESCE_MS = 200;
 /** The same for upstreams, as a part of the time within which one that leaves gets no new work: most is kept for the store, the way to peers and a second try. */
-const GATHER_SHARE = 0.2;
+const UPSTREAM_COALESCE_SHARE = 0.2;
 /** Period in which a daemon that does not read looks whether it should. */
-const STANDBY_MS = 250;
+const STANDBY_POLL_INTERVAL_MS = 250;
 /** Period in which a daemon that lost the store tries it again. */
-const PROBE_INTERVAL_MS = 1_000;
+const STORE_PROBE_INTERVAL_MS = 1_000;
 /** Silence of the store after which vanished entries count as lapsed. */
-const OUTAGE_MS = 1_000;
+const OUTAGE_THRESHOLD_MS = 1_000;
 /** Time after an outage in which peers are told that vanished entries may have lapsed. */
-const OUTAGE_TOLD_MS = 1_500;
+const OUTAGE_REPORT_MS = 1_500;
 /** Period in which peers' revisions are compared. */
-const COMPARE_INTERVAL_MS = 200;
+const PEER_COMPARE_INTERVAL_MS = 200;
 /** Time for which the own watch may lag behind a peer before the peer is asked. */
-const LAG_PATIENCE_MS = 300;
+const LAG_TOLERANCE_MS = 300;
 /** Bound on one call to a peer. */
 const PEER_TIMEOUT_MS = 600;
 const PEER_PATH = "/published";
@@ -48,7 +48,7 @@
 
 interface SetState {
   mirror: StoreMirror;
-  needsAll: boolean;
+  needsSnapshot: boolean;
   isStoreAnswering: boolean;
   /** Whether the last call to the store failed. */
   hasFailed: boolean;
@@ -56,13 +56,13 @@
   outageEndedAt: Milliseconds;
   lastAnsweredAt: Milliseconds;
   behindSince: Milliseconds | undefined;
-  isAskingPeer: boolean;
-  catchUp: CatchUp;
+  isFetchingFromPeer: boolean;
+  peerSelector: SyncPeerSelector;
   /** Newest revision of a change in the set. */
   newestRevision: number;
 }
 
-export interface ViewFollowerOptions {
+export interface ViewSynchronizerOptions {
   store: PublishedStore;
   decoder: ChangeDecoder;
   view: PublishedView;
@@ -74,18 +74,18 @@
   /** `IP:port` on which peers ask; the port is the same on all hosts. */
   listen: { ip: string; port: number };
   /** Called after news; peers should hear of it. */
-  handleNews: () => void;
+  handleChange: () => void;
 }
 
-export class ViewFollower {
-  readonly #options: ViewFollowerOptions;
+export class ViewSynchronizer {
+  readonly #options: ViewSynchronizerOptions;
   readonly #sets = new Map<PublishedSet, SetState>();
   readonly #agent = new Agent({ keepAlive: false });
   #server: Server | undefined;
   #isStopped = false;
   #timer: ReturnType<typeof setInterval> | undefined;
 
-  constructor(options: ViewFollowerOptions) {
+  constructor(options: ViewSynchronizerOptions) {
     this.#options = options;
     const { id } = options.fleet.self;
     for (const set of SETS) this.#sets.set(set, createSetState(id));
@@ -93,12 +93,12 @@
 
   async start(): Promise<void> {
     await this.#listen();
-    for (const set of SETS) void this.#followStore(set);
-    this.#timer = setInterval(() => this.#tick(), COMPARE_INTERVAL_MS);
+    for (const set of SETS) void this.#watchStore(set);
+    this.#timer = setInterval(() => this.#tick(), PEER_COMPARE_INTERVAL_MS);
   }
 
   /** Returns whether the store answers this daemon, as far as it has been asked. */
-  hasStore(): boolean {
+  isStoreReachable(): boolean {
     return [...this.#sets.values()].every((state) => !state.hasFailed);
   }
 
@@ -117,42 +117,44 @@
     this.#options.store.closeConnections();
   }
 
-  async #followStore(set: PublishedSet): Promise<void> {
+  async #watchStore(set: PublishedSet): Promise<void> {
     const state = this.#getState(set);
     while (!this.#isStopped) {
-      if (!this.#isReading(state)) {
+      if (!this.#needsStoreRead(state)) {
         state.lastAnsweredAt = performance.now();
-        await waitMs(STANDBY_MS);
+        await waitMs(STANDBY_POLL_INTERVAL_MS);
         continue;
       }
       try {
         const hasChanged = await this.#readOnce(set, state);
-        if (hasChanged) await waitMs(this.#getGatherMs(set));
+        if (hasChanged) await waitMs(this.#getCoalesceMs(set));
       } catch (error) {
         if (this.#isStopped) return;
         this.#recordFailure(set, state, error);
-        await waitMs(this.#hasReadingPeer() ? PROBE_INTERVAL_MS : RETRY_MS);
+        await waitMs(
+          this.#hasPeerWithStore() ? STORE_PROBE_INTERVAL_MS : RETRY_DELAY_MS,
+        );
       }
     }
   }
 
-  #getGatherMs(set: PublishedSet): Milliseconds {
+  #getCoalesceMs(set: PublishedSet): Milliseconds {
     switch (set) {
       case PublishedSet.Configuration:
-        return GATHER_MS;
+        return CONFIGURATION_COALESCE_MS;
       case PublishedSet.Upstreams:
-        return GATHER_SHARE * this.#options.leavingMs;
+        return UPSTREAM_COALESCE_SHARE * this.#options.leavingMs;
     }
   }
 
   /** One daemon of a failure domain reads; one that has nothing yet, lost the store or gets no news from peers does too. */
-  #isReading(state: SetState): boolean {
+  #needsStoreRead(state: SetState): boolean {
     if (state.mirror.asOf === 0 || state.hasFailed) return true;
-    if (state.catchUp.needsStore) return true;
+    if (state.peerSelector.needsStore) return true;
     return this.#options.fleet.isReader(true, performance.now());
   }
 
-  #hasReadingPeer(): boolean {
+  #hasPeerWithStore(): boolean {
     return this.#options.fleet.listLiving(performance.now())
       .some((heartbeat) => heartbeat.hasStore);
   }
@@ -160,13 +162,13 @@
   /** Returns whether there were changes. */
   async #readOnce(set: PublishedSet, state: SetState): Promise<boolean> {
     const { store } = this.#options;
-    if (state.needsAll || state.mirror.asOf === 0) {
+    if (state.needsSnapshot || state.mirror.asOf === 0) {
       const batch = await store.readAll(set);
-      state.needsAll = false;
+      state.needsSnapshot = false;
       this.#recordSuccess(set, state, batch);
       return true;
     }
-    const result = await store.watch(set, state.mirror.asOf, WATCH_WAIT_MS);
+    const result = await store.watch(set, state.mirror.asOf, WATCH_TIMEOUT_MS);
     switch (result.kind) {
       case "batch":
         this.#recordSuccess(set, state, result.batch);
@@ -176,7 +178,7 @@
           set,
           revision: state.mirror.asOf,
         });
-        state.needsAll = true;
+        state.needsSnapshot = true;
         return false;
     }
   }
@@ -184,8 +186,9 @@
   #recordSuccess(set: PublishedSet, state: SetState, batch: StoreBatch): void {
     const now = performance.now();
     const isAfterOutage =
-      now - state.lastAnsweredAt > WATCH_WAIT_MS + OUTAGE_MS ||
-      (!state.isStoreAnswering && now - state.lastAnsweredAt > OUTAGE_MS);
+      now - state.lastAnsweredAt > WATCH_TIMEOUT_MS + OUTAGE_THRESHOLD_MS ||
+      (!state.isStoreAnswering &&
+        now - state.lastAnsweredAt > OUTAGE_THRESHOLD_MS);
     state.lastAnsweredAt = now;
     state.hasFailed = false;
     if (isAfterOutage) state.outageEndedAt = now;
@@ -215,12 +218,12 @@
     const { decoder, view, log } = this.#options;
     const state = this.#getState(set);
     const now = performance.now();
-    let hasNews = false;
+    let hasRelevantChange = false;
     for (const change of state.mirror.applyBatch(batch)) {
       const decoded = decoder.decode(change);
-      const isNews = view.apply(decoded, isAfterOutage, now);
-      if (isNews || decoded.kind === "upstreamGone") {
-        hasNews = true;
+      const isRelevant = view.apply(decoded, isAfterOutage, now);
+      if (isRelevant || decoded.kind === "upstreamGone") {
+        hasRelevantChange = true;
         state.newestRevision = Math.max(state.newestRevision, change.revision);
       }
       switch (decoded.kind) {
@@ -237,11 +240,11 @@
             version: decoded.configuration.version,
             revision: change.revision,
             source,
-            isNews,
+            isNews: isRelevant,
           });
           break;
         case "upstream":
-          if (!isNews) break;
+          if (!isRelevant) break;
           log.info("upstreamChanged", {
             upstream: decoded.upstream.id,
             isLeaving: decoded.upstream.isLeaving,
@@ -267,12 +270,12 @@
           break;
       }
     }
-    if (hasNews) this.#options.handleNews();
+    if (hasRelevantChange) this.#options.handleChange();
   }
 
   #tick(): void {
     const now = performance.now();
-    const expired = this.#options.view.expireLapsed(now);
+    const expired = this.#options.view.removeLapsed(now);
     for (const upstream of expired) {
       this.#options.log.info("upstreamLapsed", { upstream });
     }
@@ -282,32 +285,33 @@
   #comparePeers(set: PublishedSet, now: Milliseconds): void {
     const state = this.#getState(set);
     const ownDomain = this.#options.fleet.self.failureDomain;
-    const ahead = this.#options.fleet.listLiving(now)
+    const newerPeers = this.#options.fleet.listLiving(now)
       .filter((heartbeat) => heartbeat.revisions[set] > state.newestRevision)
       .map(({ sender, revisions }) => ({
         id: sender.id,
         ip: sender.ip,
         revision: revisions[set],
-        isNear: sender.failureDomain === ownDomain,
+        isSameDomain: sender.failureDomain === ownDomain,
       }));
-    if (ahead.length === 0) {
+    if (newerPeers.length === 0) {
       state.behindSince = undefined;
-      state.catchUp.recordCaughtUp();
+      state.peerSelector.recordCaughtUp();
       return;
     }
     state.behindSince ??= now;
-    const isPatient = this.#options.fleet.isReader(!state.hasFailed, now) &&
-      now - state.behindSince < LAG_PATIENCE_MS;
-    if (isPatient || state.isAskingPeer) return;
-    const peer = state.catchUp.choosePeer(ahead, now);
+    const isWithinTolerance =
+      this.#options.fleet.isReader(!state.hasFailed, now) &&
+      now - state.behindSince < LAG_TOLERANCE_MS;
+    if (isWithinTolerance || state.isFetchingFromPeer) return;
+    const peer = state.peerSelector.choosePeer(newerPeers, now);
     if (!peer) return;
-    state.isAskingPeer = true;
-    void this.#askPeer(set, state, peer).finally(() => {
-      state.isAskingPeer = false;
+    state.isFetchingFromPeer = true;
+    void this.#fetchFromPeer(set, state, peer).finally(() => {
+      state.isFetchingFromPeer = false;
     });
   }
 
-  async #askPeer(
+  async #fetchFromPeer(
     set: PublishedSet,
     state: SetState,
     peer: { id: string; ip: string },
@@ -322,10 +326,10 @@
         timeoutMs: PEER_TIMEOUT_MS,
         agent: this.#agent,
       });
-      const told = decodePeerBatch(answer.body);
-      this.#applyBatch(set, told.batch, told.isAfterOutage, peer.ip);
+      const peerBatch = decodePeerBatch(answer.body);
+      this.#applyBatch(set, peerBatch.batch, peerBatch.isAfterOutage, peer.ip);
     } catch (error) {
-      state.catchUp.recordFailure(peer.id, performance.now());
+      state.peerSelector.recordFailure(peer.id, performance.now());
       this.#options.metrics.count("peer_view_failure", set);
       this.#options.log.info("peerViewUnread", {
         peer: address,
@@ -338,18 +342,19 @@
     const { ip, port } = this.#options.listen;
     const server = createServer((request, response) => {
       const [path, query] = (request.url ?? "").split("?");
-      const asked = new URLSearchParams(query);
-      const set = SETS.find((each) => each === asked.get("set"));
+      const parameters = new URLSearchParams(query);
+      const set = SETS.find((each) => each === parameters.get("set"));
       if (path !== PEER_PATH || !set) {
         response.writeHead(404).end();
         return;
       }
-      const after = Number(asked.get("after")) || 0;
+      const afterRevision = Number(parameters.get("after")) || 0;
       const state = this.#getState(set);
       response.setHeader("Content-Type", "application/gzip");
       response.end(encodePeerBatch({
-        batch: state.mirror.buildBatchAfter(after),
-        isAfterOutage: performance.now() - state.outageEndedAt < OUTAGE_TOLD_MS,
+        batch: state.mirror.buildBatchAfter(afterRevision),
+        isAfterOutage:
+          performance.now() - state.outageEndedAt < OUTAGE_REPORT_MS,
       }));
     });
     this.#server = server;
@@ -369,14 +374,14 @@
 function createSetState(selfId: string): SetState {
   return {
     mirror: new StoreMirror(),
-    needsAll: true,
+    needsSnapshot: true,
     isStoreAnswering: false,
     hasFailed: false,
     outageEndedAt: Number.NEGATIVE_INFINITY,
     lastAnsweredAt: performance.now(),
     behindSince: undefined,
-    isAskingPeer: false,
-    catchUp: new CatchUp(selfId),
+    isFetchingFromPeer: false,
+    peerSelector: new SyncPeerSelector(selfId),
     newestRevision: 0,
   };
 }
--- a/test/core/placement/upstream_choice_test.ts
+++ b/test/core/placement/upstream_choice_test.ts
@@ -14,7 +14,7 @@
     service: "s",
     address: "127.0.0.1:1",
     failureDomain,
-    slots: 6,
+    maxConcurrentRequests: 6,
     isLeaving: false,
     bornAtUnixMs: 1,
     models: ["m"],
--- a/test/core/view/published_view_test.ts
+++ b/test/core/view/published_view_test.ts
@@ -47,7 +47,7 @@
     service: "plain",
     address: "127.0.0.1:1",
     failureDomain: "a",
-    slots: 1,
+    maxConcurrentRequests: 1,
     isLeaving: false,
     bornAtUnixMs: 1,
     models: [],
@@ -115,8 +115,8 @@
   const leaving = createUpstream({ isLeaving: true });
   assert.ok(view.apply({ kind: "upstream", upstream: leaving }, false, 0));
   assert.is(view.listServing("plain").length, 0);
-  const stray = createUpstream({ id: "s", service: "nobody's" });
-  view.apply({ kind: "upstream", upstream: stray }, false, 0);
+  const unknownService = createUpstream({ id: "s", service: "nobody's" });
+  view.apply({ kind: "upstream", upstream: unknownService }, false, 0);
   assert.is(view.getUpstream("s"), undefined);
 });
 
@@ -135,8 +135,8 @@
   view.apply({ kind: "upstream", upstream: createUpstream({}) }, false, 0);
   view.apply({ kind: "upstreamGone", id: "u" }, true, 100);
   assert.is(view.listServing("plain").length, 1);
-  assert.equal(view.expireLapsed(100 + LAPSE_GRACE_MS - 1), []);
-  assert.equal(view.expireLapsed(100 + LAPSE_GRACE_MS), ["u"]);
+  assert.equal(view.removeLapsed(100 + LAPSE_GRACE_MS - 1), []);
+  assert.equal(view.removeLapsed(100 + LAPSE_GRACE_MS), ["u"]);
   assert.is(view.listServing("plain").length, 0);
   view.apply({ kind: "upstream", upstream: createUpstream({}) }, false, 0);
   view.apply({ kind: "upstreamGone", id: "u" }, false, 100);
@@ -148,7 +148,7 @@
   view.apply({ kind: "upstream", upstream: createUpstream({}) }, false, 0);
   view.apply({ kind: "upstreamGone", id: "u" }, true, 100);
   view.apply({ kind: "upstream", upstream: createUpstream({}) }, false, 900);
-  assert.equal(view.expireLapsed(100 + LAPSE_GRACE_MS), []);
+  assert.equal(view.removeLapsed(100 + LAPSE_GRACE_MS), []);
   assert.is(view.listServing("plain").length, 1);
 });
 
--- a/test/core/view/store_mirror_test.ts
+++ b/test/core/view/store_mirror_test.ts
@@ -14,12 +14,12 @@
     asOf: 9,
     changes: [put("a", 9, "new")],
   });
-  const news = mirror.applyBatch({
+  const applied = mirror.applyBatch({
     isSnapshot: false,
     asOf: 5,
     changes: [put("a", 5, "old")],
   });
-  assert.equal(news, []);
+  assert.equal(applied, []);
   assert.is(mirror.asOf, 9);
   assert.is(mirror.buildBatchAfter(0).changes[0]?.value, "new");
 });
@@ -31,8 +31,12 @@
     asOf: 12,
     changes: [put("a", 3), put("b", 12)],
   });
-  const news = mirror.applyBatch({ isSnapshot: true, asOf: 10, changes: [] });
-  assert.equal(news, [{ key: "a", revision: 10, value: undefined }]);
+  const applied = mirror.applyBatch({
+    isSnapshot: true,
+    asOf: 10,
+    changes: [],
+  });
+  assert.equal(applied, [{ key: "a", revision: 10, value: undefined }]);
   assert.equal(mirror.buildBatchAfter(0).changes, [put("b", 12)]);
 });
 
@@ -48,12 +52,12 @@
     mirror.applyBatch({ isSnapshot: false, asOf: 4, changes: [put("a", 3)] }),
     [],
   );
-  const news = mirror.applyBatch({
+  const applied = mirror.applyBatch({
     isSnapshot: false,
     asOf: 6,
     changes: [put("a", 6)],
   });
-  assert.is(news.length, 1);
+  assert.is(applied.length, 1);
 });
 
 test("a peer that is behind gets changes and removals, one that knows nothing a snapshot", () => {
--- a/test/gateway/peer_batch_test.ts
+++ b/test/gateway/peer_batch_test.ts
@@ -13,7 +13,7 @@
   decodePeerBatch,
   encodePeerBatch,
 } from "../../src/gateway/peer_batch.ts";
-import { ViewFollower } from "../../src/gateway/view_follower.ts";
+import { ViewSynchronizer } from "../../src/gateway/view_follower.ts";
 import { reservePorts } from "../port_reservation.ts";
 
 const ports = await reservePorts(process.pid);
@@ -22,7 +22,7 @@
 
 test("a batch comes out as it went in, bytes of any value included", () => {
   const value = Buffer.from([...Array(256).keys()]).toString("base64");
-  const told = {
+  const peerBatch = {
     batch: {
       isSnapshot: false,
       asOf: 7,
@@ -33,7 +33,7 @@
     },
     isAfterOutage: true,
   };
-  assert.equal(decodePeerBatch(encodePeerBatch(told)), told);
+  assert.equal(decodePeerBatch(encodePeerBatch(peerBatch)), peerBatch);
 });
 
 test("what is no batch is refused whole", () => {
@@ -51,7 +51,7 @@
 });
 
 test("a peer's question that is no URL path is answered, and so is the next", async () => {
-  const follower = new ViewFollower({
+  const synchronizer = new ViewSynchronizer({
     store: {
       readAll: () => Promise.reject(new Error("no store here")),
       watch: () => Promise.reject(new Error("no store here")),
@@ -68,20 +68,20 @@
     metrics: new GatewayMetrics(),
     leavingMs: 2_000,
     listen: { ip: "127.0.0.1", port: ports.port },
-    handleNews: () => {},
+    handleChange: () => {},
   });
-  await follower.start();
-  const ask = (path: string) =>
+  await synchronizer.start();
+  const getStatus = (path: string) =>
     new Promise<number | undefined>((resolve, reject) => {
       request({ host: "127.0.0.1", port: ports.port, path }, (response) => {
         response.resume();
         resolve(response.statusCode);
       }).on("error", reject).end();
     });
-  assert.is(await ask("//"), 404);
-  assert.is(await ask("/published?set=none"), 404);
-  assert.is(await ask("/published?set=configuration&after=x"), 200);
-  follower.stop();
+  assert.is(await getStatus("//"), 404);
+  assert.is(await getStatus("/published?set=none"), 404);
+  assert.is(await getStatus("/published?set=configuration&after=x"), 200);
+  synchronizer.stop();
 });
 
 test.run();
--- a/test/gateway/peer_datagrams_test.ts
+++ b/test/gateway/peer_datagrams_test.ts
@@ -49,7 +49,7 @@
 /** Sends raw texts to a receiver, and a valid message after them; returns what was handled and counted. */
 async function receive(
   texts: readonly (string | Buffer)[],
-  handleAlso: (message: GatewayMessage) => void = () => {},
+  afterHandling: (message: GatewayMessage) => void = () => {},
 ) {
   const handled: GatewayMessage[] = [];
   const dropped: string[] = [];
@@ -66,7 +66,7 @@
     metrics,
     handle: (_from, message) => {
       handled.push(message);
-      handleAlso(message);
+      afterHandling(message);
     },
   });
   await receiver.listen();
