--- a/src/core/fleet/fleet_view.ts
+++ b/src/core/fleet/fleet_view.ts
@@ -13,27 +13,27 @@
 import { rankByRendezvous } from "../hashing.ts";
 import type { OutcomeReport } from "../placement/upstream_health.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { FleetMember, Heartbeat, NamedMember } from "./heartbeat.ts";
+import type { FleetMember, GossipEntry, Heartbeat } from "./heartbeat.ts";
 import {
-  DISTANT_TARGETS,
-  HeartbeatSpread,
+  HeartbeatFanout,
   type HeartbeatTarget,
+  REMOTE_TARGETS,
 } from "./heartbeat_spread.ts";
 import {
   hasMember,
-  HOLDER_GROUP_SIZE,
-  selectHolderGroup,
+  OWNER_GROUP_SIZE,
+  selectOwnerGroup,
 } from "./holder_group.ts";
 
 /** Period of heartbeats in a small fleet; a death is noticed within a few of them. */
 const SMALL_INTERVAL_MS = 400;
 /** Period in a small fleet for a daemon that has just started, and that time: engines without a holder wait for its word. */
-const NEWCOMER_INTERVAL_MS = 150;
-const NEWCOMER_HURRY_MS = 3_000;
+const STARTUP_INTERVAL_MS = 150;
+const STARTUP_MS = 3_000;
 /** Period in a large fleet, whose daemons have to keep to 3 KB a second for control. */
 const LARGE_INTERVAL_MS = 1_000;
 /** Time after the start in which a daemon of a large fleet makes itself known faster. */
-const FIRST_GOSSIP_MS = 5_000;
+const LARGE_STARTUP_MS = 5_000;
 /** Heartbeats that fail to come before a member is taken for dead. */
 const MISSED_HEARTBEATS = 4;
 /** Fleet size up to which every daemon sends to every other one. */
@@ -41,42 +41,42 @@
 /** Time for which a group of holders is used again: members come and go in seconds. */
 const GROUP_LIFETIME_MS = 1_000;
 /** Age up to which news of a member is passed on, so that a dead one is not kept alive by old news. */
-const FRESH_NEWS_MS = 4_000;
+const MAX_GOSSIP_AGE_MS = 4_000;
 /** Members of its failure domain of which a daemon of a large fleet surely has news in a period: a quarter of those that are named to it. */
-const NEAR_NEWS = 10;
+const LOCAL_UPDATES = 10;
 /** Time for which the word of others does not revive a member that did not answer this daemon. */
-const SILENCED_MS = 3_000;
+const IGNORE_GOSSIP_MS = 3_000;
 /** Silence after which a member is no longer sent anything. */
 const FORGET_MS = 60_000;
 
 /** Time from its start for which a daemon can say that it never held an engine: a restart of the whole fleet takes some seconds. */
-export const NEWCOMER_MS = 15_000;
+export const RECENTLY_STARTED_MS = 15_000;
 /** Peers that must say so before an engine is taken for unheld: a lone one can't tell who else lives. */
-const MIN_NEWCOMER_PEERS = 2;
+const MIN_UNOWNED_PEERS = 2;
 /** Longest time that a heartbeat is taken to be on its way. */
-const HEARTBEAT_TRAVEL_MS = 300;
+const MAX_HEARTBEAT_DELAY_MS = 300;
 
 /** Daemons that are taken to claim an engine at the same time at most. */
-const MAX_RIVALS = 3;
+const MAX_CLAIMANTS = 3;
 
 /** Key by which the reader of the store is drawn. */
 const READER_KEY = "store reader";
 
 /** Time for which a look through the members is used again. */
-const SURVEY_LIFETIME_MS = 100;
+const SNAPSHOT_LIFETIME_MS = 100;
 
-interface Survey {
-  madeAt: Milliseconds;
+interface Snapshot {
+  createdAt: Milliseconds;
   /** Loads from the weight store on their way, at the living members. */
   fetchesInFlight: number;
   /** Living members. */
-  living: number;
+  aliveCount: number;
   /** Those of them that are not leaving. */
-  staying: FleetMember[];
+  notLeaving: FleetMember[];
   /** Holder of each engine that one of them holds. */
-  holders: Map<string, string>;
+  owners: Map<string, string>;
   /** Ranking of the holders to be, this daemon included, of engines asked for. */
-  ranked: Map<string, FleetMember[]>;
+  rankings: Map<string, FleetMember[]>;
 }
 
 interface KnownMember {
@@ -84,26 +84,26 @@
   heartbeat: Heartbeat | undefined;
   /** Highest number of its heartbeats that is known. */
   beat: number;
-  heardAt: Milliseconds;
+  lastHeardAt: Milliseconds;
   /** When its own heartbeat came last. */
-  sentAt: Milliseconds;
+  lastHeartbeatAt: Milliseconds;
   /** Time within which it promised the next one; undefined without a promise that is kept. */
   promisedMs: Milliseconds | undefined;
   /** Whether it did not answer this daemon, or this one stood still, since it was heard. */
-  isSilent: boolean;
+  isUnreachable: boolean;
   /** Until when only the member itself is believed. */
-  silencedUntil: Milliseconds;
+  ignoreGossipUntil: Milliseconds;
   /** When it was first named to this daemon. */
-  namedAt: Milliseconds;
+  firstSeenAt: Milliseconds;
 }
 
 export class FleetView {
   readonly #self: FleetMember;
   readonly #firstBeat: number;
   readonly #members = new Map<string, KnownMember>();
-  #nearMembers = 0;
-  #survey: Survey | undefined;
-  readonly #spread: HeartbeatSpread;
+  #localMembers = 0;
+  #snapshot: Snapshot | undefined;
+  readonly #fanout: HeartbeatFanout;
   readonly #groups = new Map<
     string,
     { madeAt: Milliseconds; members: FleetMember[] }
@@ -113,12 +113,12 @@
   constructor(self: FleetMember, firstBeat = 0) {
     this.#self = self;
     this.#firstBeat = firstBeat;
-    this.#spread = new HeartbeatSpread(self);
+    this.#fanout = new HeartbeatFanout(self);
   }
 
   /** Number of the heartbeat that is due. */
   get beat(): number {
-    return this.#firstBeat + this.#spread.round;
+    return this.#firstBeat + this.#fanout.round;
   }
 
   get self(): FleetMember {
@@ -126,13 +126,13 @@
   }
 
   /** Number of daemons that live as far as is known, this one included. */
-  countLiving(now: Milliseconds): number {
-    return 1 + this.#getSurvey(now).living;
+  countAlive(now: Milliseconds): number {
+    return 1 + this.#getSnapshot(now).aliveCount;
   }
 
   /** The same within a failure domain; at least one. */
-  countLivingIn(failureDomain: string, now: Milliseconds): number {
-    const { staying } = this.#getSurvey(now);
+  countAliveIn(failureDomain: string, now: Milliseconds): number {
+    const { notLeaving: staying } = this.#getSnapshot(now);
     const peers = staying.filter((member) =>
       member.failureDomain === failureDomain
     );
@@ -141,8 +141,8 @@
   }
 
   /** Returns whether a peer in the failure domain lives as far as is known. */
-  isDomainHeard(failureDomain: string, now: Milliseconds): boolean {
-    return this.listLiving(now).some(({ sender }) =>
+  hasAlivePeer(failureDomain: string, now: Milliseconds): boolean {
+    return this.listAlive(now).some(({ sender }) =>
       sender.failureDomain === failureDomain
     );
   }
@@ -152,24 +152,24 @@
    * might order the engines of a failure domain: of all in a small fleet, of those
    * that hold the engines there in a large one. Others' word does not count.
    */
-  isHearingMajority(failureDomain: string, now: Milliseconds): boolean {
+  hasQuorum(failureDomain: string, now: Milliseconds): boolean {
     if (this.isFullMesh()) {
       const known = this.#listRemembered(now);
-      return 2 * this.countLiving(now) > known.length + 1;
+      return 2 * this.countAlive(now) > known.length + 1;
     }
     if (failureDomain !== this.#self.failureDomain) return false;
     const group = this.#getGroup(failureDomain, now);
     const heard = group.filter((member) =>
-      member.id === this.#self.id || this.#isHeard(member.id, now)
+      member.id === this.#self.id || this.#hasFreshHeartbeat(member.id, now)
     );
     return 2 * heard.length > group.length;
   }
 
   /** Returns whether the member's own heartbeat came within the time in which group members send theirs. */
-  #isHeard(id: string, now: Milliseconds): boolean {
+  #hasFreshHeartbeat(id: string, now: Milliseconds): boolean {
     const known = this.#members.get(id);
-    return known !== undefined && !known.isSilent &&
-      now - known.sentAt < MISSED_HEARTBEATS * SMALL_INTERVAL_MS;
+    return known !== undefined && !known.isUnreachable &&
+      now - known.lastHeartbeatAt < MISSED_HEARTBEATS * SMALL_INTERVAL_MS;
   }
 
   /** Returns whether the fleet is so small that every daemon hears every other one. */
@@ -180,58 +180,60 @@
   recordHeartbeat(heartbeat: Heartbeat, now: Milliseconds): boolean {
     if (heartbeat.sender.id === this.#self.id) return false;
     const known = this.#members.get(heartbeat.sender.id);
-    const isNew = !known || !this.#isLiving(known, now) ||
+    const isNew = !known || !this.#isAlive(known, now) ||
       known.heartbeat?.incarnation !== heartbeat.incarnation;
-    if (!known && this.#isNear(heartbeat.sender)) this.#nearMembers += 1;
+    if (!known && this.#isLocal(heartbeat.sender)) this.#localMembers += 1;
     const isChanged = isNew ||
       known?.heartbeat?.isLeaving !== heartbeat.isLeaving ||
       !isSameList(known?.heartbeat?.heldEngines, heartbeat.heldEngines);
-    if (isChanged) this.#expireSurvey();
+    if (isChanged) this.#expireSnapshot();
     this.#members.set(heartbeat.sender.id, {
       member: heartbeat.sender,
       heartbeat,
       beat: heartbeat.beat,
-      heardAt: now,
-      sentAt: now,
+      lastHeardAt: now,
+      lastHeartbeatAt: now,
       promisedMs: heartbeat.promisedMs,
-      isSilent: false,
-      silencedUntil: Number.NEGATIVE_INFINITY,
-      namedAt: known?.namedAt ?? now,
+      isUnreachable: false,
+      ignoreGossipUntil: Number.NEGATIVE_INFINITY,
+      firstSeenAt: known?.firstSeenAt ?? now,
     });
     if (!known) this.#groups.delete(heartbeat.sender.failureDomain);
-    for (const named of heartbeat.sample) this.#recordNamed(named, now);
+    for (const named of heartbeat.sample) this.#recordGossip(named, now);
     return isNew;
   }
 
   /** Takes a member for dead that did not acknowledge a message, until it is heard again. */
-  recordSilence(id: string, now: Milliseconds): void {
+  markUnreachable(id: string, now: Milliseconds): void {
     const known = this.#members.get(id);
     if (!known) return;
-    known.isSilent = true;
-    known.silencedUntil = now + SILENCED_MS;
-    this.#expireSurvey();
+    known.isUnreachable = true;
+    known.ignoreGossipUntil = now + IGNORE_GOSSIP_MS;
+    this.#expireSnapshot();
   }
 
   /** Returns the members that get a heartbeat in this period. */
   selectTargets(now: Milliseconds): HeartbeatTarget[] {
     const members = this.#listRemembered(now).map((each) => each.member);
     if (this.isFullMesh()) {
-      this.#spread.advanceRound();
+      this.#fanout.advanceRound();
       return members.map((member) => ({ member, isPromised: false }));
     }
     const group = this.#getGroup(this.#self.failureDomain, now);
-    return this.#spread.selectTargets(members, group);
+    return this.#fanout.selectTargets(members, group);
   }
 
   /**
    * Returns some members to name in a heartbeat, others each period; old news is
    * not passed on, and few go to those who get many heartbeats.
    */
-  selectSample(isPromised: boolean, now: Milliseconds): NamedMember[] {
+  selectSample(isPromised: boolean, now: Milliseconds): GossipEntry[] {
     const known = this.#listKnown();
-    if (this.isFullMesh()) return this.#spread.selectSmallSample(known);
-    const fresh = known.filter((each) => now - each.heardAt < FRESH_NEWS_MS);
-    return this.#spread.selectSample(fresh, isPromised);
+    if (this.isFullMesh()) return this.#fanout.selectSmallSample(known);
+    const fresh = known.filter((each) =>
+      now - each.lastHeardAt < MAX_GOSSIP_AGE_MS
+    );
+    return this.#fanout.selectSample(fresh, isPromised);
   }
 
   getMember(id: string): FleetMember | undefined {
@@ -239,27 +241,27 @@
   }
 
   /** Returns whether the member lives as far as is known. */
-  isLiving(id: string, now: Milliseconds): boolean {
+  isAlive(id: string, now: Milliseconds): boolean {
     if (id === this.#self.id) return true;
     const known = this.#members.get(id);
-    return known !== undefined && this.#isLiving(known, now);
+    return known !== undefined && this.#isAlive(known, now);
   }
 
   /** Returns the living peers' last heartbeats. */
-  listLiving(now: Milliseconds): Heartbeat[] {
+  listAlive(now: Milliseconds): Heartbeat[] {
     return this.#listKnown()
-      .filter((each) => this.#isLiving(each, now))
+      .filter((each) => this.#isAlive(each, now))
       .flatMap((each) => each.heartbeat ?? []);
   }
 
   /** Returns the engines that living daemons say they hold, with the daemon. */
-  listHolders(now: Milliseconds): ReadonlyMap<string, string> {
-    return this.#getSurvey(now).holders;
+  listOwners(now: Milliseconds): ReadonlyMap<string, string> {
+    return this.#getSnapshot(now).owners;
   }
 
   /** Returns the living daemon that says it holds the engine, or undefined. */
-  findHolder(engineId: string, now: Milliseconds): string | undefined {
-    return this.#getSurvey(now).holders.get(engineId);
+  findOwner(engineId: string, now: Milliseconds): string | undefined {
+    return this.#getSnapshot(now).owners.get(engineId);
   }
 
   /**
@@ -268,12 +270,12 @@
    * all where nobody there does.
    * @param isStopping whether this daemon itself is no candidate.
    */
-  rankHolders(
+  rankOwners(
     engine: { id: string; failureDomain: string },
     isStopping: boolean,
     now: Milliseconds,
   ): FleetMember[] {
-    const { staying, ranked } = this.#getSurvey(now);
+    const { notLeaving: staying, rankings: ranked } = this.#getSnapshot(now);
     if (isStopping) return this.#rankCandidates(engine, staying, now);
     const known = ranked.get(engine.id);
     if (known) return known;
@@ -294,7 +296,7 @@
     const near = living.filter((member) =>
       member.failureDomain === engine.failureDomain
     );
-    const next = selectHolderGroup(engine.failureDomain, near);
+    const next = selectOwnerGroup(engine.failureDomain, near);
     return rankByRendezvous(engine.id, next.length > 0 ? next : living);
   }
 
@@ -306,7 +308,7 @@
    * failure domain, this daemon among them. All seeds must be known by now: who
    * has just started and is cut off knows only some of the others.
    */
-  isUnheld(
+  isUnowned(
     engine: { id: string; failureDomain: string },
     heard: { since: Milliseconds; seedIps: readonly string[] },
     now: Milliseconds,
@@ -315,24 +317,24 @@
     const ips = new Set(known.map((each) => each.member.ip));
     const peers = this.isFullMesh()
       ? known
-      : this.#listGroupMates(engine.failureDomain, now);
-    return peers !== undefined && peers.length >= MIN_NEWCOMER_PEERS &&
-      this.findHolder(engine.id, now) === undefined &&
+      : this.#listGroupPeers(engine.failureDomain, now);
+    return peers !== undefined && peers.length >= MIN_UNOWNED_PEERS &&
+      this.findOwner(engine.id, now) === undefined &&
       heard.seedIps.every((ip) => ip === this.#self.ip || ips.has(ip)) &&
       peers.every((each) =>
-        this.#isLiving(each, now) &&
-        each.sentAt >= heard.since + HEARTBEAT_TRAVEL_MS &&
-        hasNeverHeld(each.heartbeat, engine.id)
+        this.#isAlive(each, now) &&
+        each.lastHeartbeatAt >= heard.since + MAX_HEARTBEAT_DELAY_MS &&
+        hasNeverOwned(each.heartbeat, engine.id)
       );
   }
 
   /** Returns the other members of a whole group that this daemon is in; undefined where it is in none. */
-  #listGroupMates(
+  #listGroupPeers(
     failureDomain: string,
     now: Milliseconds,
   ): KnownMember[] | undefined {
     const group = this.#getGroup(failureDomain, now);
-    if (!this.#isIn(group) || group.length < HOLDER_GROUP_SIZE) {
+    if (!this.#isMemberOf(group) || group.length < OWNER_GROUP_SIZE) {
       return undefined;
     }
     return group.flatMap(({ id }) => this.#members.get(id) ?? []);
@@ -340,18 +342,18 @@
 
   /** Returns how many loads from the weight store the living peers have on the way. */
   countFetches(now: Milliseconds): number {
-    return this.#getSurvey(now).fetchesInFlight;
+    return this.#getSnapshot(now).fetchesInFlight;
   }
 
   /** Returns what each living peer has seen of upstreams that fail requests. */
   listFailing(now: Milliseconds): OutcomeReport[][] {
-    return this.listLiving(now)
+    return this.listAlive(now)
       .flatMap(({ failing }) => failing ? [failing] : []);
   }
 
   /** Returns how many loads the living peers have found to go at full speed together. */
   listFullSpeedFetches(now: Milliseconds): number[] {
-    return this.listLiving(now)
+    return this.listAlive(now)
       .flatMap((heartbeat) => heartbeat.fullSpeedFetches ?? []);
   }
 
@@ -359,7 +361,7 @@
    * Returns the daemons that come first for an engine's orders, living or not: so
    * daemons that disagree on who lives still agree on who is who.
    */
-  listRivals(
+  listClaimants(
     engine: { id: string; failureDomain: string },
     now: Milliseconds,
   ): string[] {
@@ -367,7 +369,7 @@
     const members = group.length > 0
       ? group
       : [this.#self, ...this.#listKnown().map((each) => each.member)];
-    return rankByRendezvous(engine.id, members).slice(0, MAX_RIVALS)
+    return rankByRendezvous(engine.id, members).slice(0, MAX_CLAIMANTS)
       .map((member) => member.id);
   }
 
@@ -375,12 +377,12 @@
    * Returns whether this daemon should read the store for its failure domain:
    * one of those that can does, the others ask it.
    */
-  isReader(canRead: boolean, now: Milliseconds): boolean {
+  isStoreReader(canRead: boolean, now: Milliseconds): boolean {
     if (!canRead) return false;
-    const candidates = this.listLiving(now)
+    const candidates = this.listAlive(now)
       .filter((heartbeat) =>
         heartbeat.hasStore && !heartbeat.isLeaving &&
-        this.#isNear(heartbeat.sender)
+        this.#isLocal(heartbeat.sender)
       )
       .map((heartbeat) => heartbeat.sender);
     const group = this.#getGroup(this.#self.failureDomain, now);
@@ -394,83 +396,83 @@
   }
 
   /** Looks through the members once for many questions. */
-  #getSurvey(now: Milliseconds): Survey {
-    const previous = this.#survey;
-    const isFresh = previous !== undefined && now >= previous.madeAt &&
-      now - previous.madeAt < SURVEY_LIFETIME_MS;
+  #getSnapshot(now: Milliseconds): Snapshot {
+    const previous = this.#snapshot;
+    const isFresh = previous !== undefined && now >= previous.createdAt &&
+      now - previous.createdAt < SNAPSHOT_LIFETIME_MS;
     if (isFresh) return previous;
-    const survey: Survey = {
-      madeAt: now,
-      living: 0,
+    const survey: Snapshot = {
+      createdAt: now,
+      aliveCount: 0,
       fetchesInFlight: 0,
-      staying: [],
-      holders: new Map(),
-      ranked: new Map(),
+      notLeaving: [],
+      owners: new Map(),
+      rankings: new Map(),
     };
     for (const known of this.#members.values()) {
       const { member, heartbeat } = known;
-      if (!this.#isLiving(known, now)) continue;
-      survey.living += 1;
+      if (!this.#isAlive(known, now)) continue;
+      survey.aliveCount += 1;
       survey.fetchesInFlight += heartbeat?.fetchesInFlight ?? 0;
       if (heartbeat?.isLeaving) continue;
-      survey.staying.push(member);
+      survey.notLeaving.push(member);
       for (const engineId of heartbeat?.heldEngines ?? []) {
-        if (survey.holders.has(engineId)) continue;
-        survey.holders.set(engineId, member.id);
+        if (survey.owners.has(engineId)) continue;
+        survey.owners.set(engineId, member.id);
       }
     }
     // Rankings cost a hash a member and engine, and hold while nobody comes or goes.
-    if (previous && hasSameMembers(previous.staying, survey.staying)) {
-      survey.ranked = previous.ranked;
+    if (previous && hasSameMembers(previous.notLeaving, survey.notLeaving)) {
+      survey.rankings = previous.rankings;
     }
-    this.#survey = survey;
+    this.#snapshot = survey;
     return survey;
   }
 
   /** Has the members looked through again; their rankings may still hold. */
-  #expireSurvey(): void {
-    if (this.#survey) this.#survey.madeAt = Number.NEGATIVE_INFINITY;
+  #expireSnapshot(): void {
+    if (this.#snapshot) this.#snapshot.createdAt = Number.NEGATIVE_INFINITY;
   }
 
   /** Takes every peer for silent, after a pause of this process. */
-  expireAll(): void {
-    for (const known of this.#members.values()) known.isSilent = true;
-    this.#expireSurvey();
+  markAllUnreachable(): void {
+    for (const known of this.#members.values()) known.isUnreachable = true;
+    this.#expireSnapshot();
   }
 
-  #recordNamed(named: NamedMember, now: Milliseconds): void {
+  #recordGossip(named: GossipEntry, now: Milliseconds): void {
     const [id, ip, failureDomain, beat] = named;
     if (id === this.#self.id) return;
     const known = this.#members.get(id);
     if (!known) {
       const member = { id, ip, failureDomain };
-      if (this.#isNear(member)) this.#nearMembers += 1;
+      if (this.#isLocal(member)) this.#localMembers += 1;
       this.#members.set(id, {
         member,
         heartbeat: undefined,
         beat,
-        heardAt: now,
-        sentAt: Number.NEGATIVE_INFINITY,
+        lastHeardAt: now,
+        lastHeartbeatAt: Number.NEGATIVE_INFINITY,
         promisedMs: undefined,
-        isSilent: false,
-        silencedUntil: Number.NEGATIVE_INFINITY,
-        namedAt: now,
+        isUnreachable: false,
+        ignoreGossipUntil: Number.NEGATIVE_INFINITY,
+        firstSeenAt: now,
       });
       this.#groups.delete(failureDomain);
       return;
     }
     const isNews = beat > known.beat && !this.isFullMesh() &&
-      now >= known.silencedUntil;
+      now >= known.ignoreGossipUntil;
     if (!isNews) return;
-    if (!this.#isLiving(known, now)) this.#expireSurvey();
+    if (!this.#isAlive(known, now)) this.#expireSnapshot();
     known.beat = beat;
-    known.heardAt = now;
-    known.isSilent = false;
+    known.lastHeardAt = now;
+    known.isUnreachable = false;
     // It lives and sends this daemon no more: it takes others for its group.
-    if (isOverdue(known, now)) known.promisedMs = undefined;
+    if (hasMissedPromise(known, now)) known.promisedMs = undefined;
   }
 
-  #isNear(member: FleetMember): boolean {
+  #isLocal(member: FleetMember): boolean {
     return member.failureDomain === this.#self.failureDomain;
   }
 
@@ -481,7 +483,7 @@
       now - known.madeAt < GROUP_LIFETIME_MS;
     if (isFresh) return known.members;
     const remembered = this.#listRemembered(now).map((each) => each.member);
-    const members = selectHolderGroup(
+    const members = selectOwnerGroup(
       failureDomain,
       [...remembered, this.#self].filter((member) =>
         member.failureDomain === failureDomain
@@ -491,16 +493,16 @@
     return members;
   }
 
-  #isIn(group: readonly FleetMember[]): boolean {
+  #isMemberOf(group: readonly FleetMember[]): boolean {
     return hasMember(group, this.#self);
   }
 
   /** Returns the time until the next heartbeats. */
   getIntervalMs(uptimeMs: Milliseconds, now: Milliseconds): Milliseconds {
-    const isStarting = uptimeMs < NEWCOMER_HURRY_MS && this.isFullMesh();
-    if (isStarting) return NEWCOMER_INTERVAL_MS;
-    const isOften = this.isFullMesh() || uptimeMs < FIRST_GOSSIP_MS ||
-      this.#isIn(this.#getGroup(this.#self.failureDomain, now));
+    const isStarting = uptimeMs < STARTUP_MS && this.isFullMesh();
+    if (isStarting) return STARTUP_INTERVAL_MS;
+    const isOften = this.isFullMesh() || uptimeMs < LARGE_STARTUP_MS ||
+      this.#isMemberOf(this.#getGroup(this.#self.failureDomain, now));
     return isOften ? SMALL_INTERVAL_MS : LARGE_INTERVAL_MS;
   }
 
@@ -510,21 +512,21 @@
   }
 
   /** In a large fleet there is news of a member only now and then, unless it promised more. */
-  #isLiving(known: KnownMember, now: Milliseconds): boolean {
-    if (known.isSilent) return false;
+  #isAlive(known: KnownMember, now: Milliseconds): boolean {
+    if (known.isUnreachable) return false;
     if (known.heartbeat === undefined && this.isFullMesh()) return false;
-    const silenceMs = MISSED_HEARTBEATS * this.#getNewsIntervalMs(known);
-    return now - known.heardAt < silenceMs;
+    const silenceMs = MISSED_HEARTBEATS * this.#getUpdateIntervalMs(known);
+    return now - known.lastHeardAt < silenceMs;
   }
 
   /** Returns the time within which there is news of a member. */
-  #getNewsIntervalMs(known: KnownMember): Milliseconds {
+  #getUpdateIntervalMs(known: KnownMember): Milliseconds {
     if (this.isFullMesh()) return SMALL_INTERVAL_MS;
     if (known.promisedMs !== undefined) return known.promisedMs;
-    const periods = this.#isNear(known.member)
-      ? Math.max(1, Math.floor(this.#nearMembers / NEAR_NEWS))
+    const periods = this.#isLocal(known.member)
+      ? Math.max(1, Math.floor(this.#localMembers / LOCAL_UPDATES))
       : Math.ceil(
-        (this.#members.size - this.#nearMembers) / DISTANT_TARGETS / 2,
+        (this.#members.size - this.#localMembers) / REMOTE_TARGETS / 2,
       );
     return LARGE_INTERVAL_MS * periods;
   }
@@ -532,7 +534,7 @@
   /** Returns the members that were heard or named lately. */
   #listRemembered(now: Milliseconds): KnownMember[] {
     return this.#listKnown().filter((each) =>
-      now - Math.max(each.heardAt, each.namedAt) < FORGET_MS
+      now - Math.max(each.lastHeardAt, each.firstSeenAt) < FORGET_MS
     );
   }
 
@@ -541,7 +543,7 @@
   }
 }
 
-function hasNeverHeld(
+function hasNeverOwned(
   heartbeat: Heartbeat | undefined,
   engineId: string,
 ): boolean {
@@ -559,9 +561,9 @@
 }
 
 /** Returns whether two promised heartbeats have failed to come. */
-function isOverdue(known: KnownMember, now: Milliseconds): boolean {
+function hasMissedPromise(known: KnownMember, now: Milliseconds): boolean {
   return known.promisedMs !== undefined &&
-    now - known.sentAt > 2 * known.promisedMs;
+    now - known.lastHeartbeatAt > 2 * known.promisedMs;
 }
 
 function isSameList(
--- a/src/core/fleet/heartbeat.ts
+++ b/src/core/fleet/heartbeat.ts
@@ -11,7 +11,7 @@
 }
 
 /** A member as a heartbeat names it, and the highest number of its heartbeats that the sender knows. */
-export type NamedMember = [
+export type GossipEntry = [
   id: string,
   ip: string,
   failureDomain: string,
@@ -45,7 +45,7 @@
   /** Highest time of the sender's fence clock. */
   fenceUnixMs: number;
   /** Some of the members that the sender knows. */
-  sample: NamedMember[];
+  sample: GossipEntry[];
   /** Fingerprints of requests that crashed upstreams, with their count. */
   strikes: { fingerprint: string; strikes: number }[];
 }
--- a/src/core/fleet/heartbeat_spread.ts
+++ b/src/core/fleet/heartbeat_spread.ts
@@ -4,23 +4,23 @@
  * that what it sends does not grow with the fleet.
  */
 import { rankByRendezvous } from "../hashing.ts";
-import type { FleetMember, NamedMember } from "./heartbeat.ts";
+import type { FleetMember, GossipEntry } from "./heartbeat.ts";
 import { hasMember } from "./holder_group.ts";
 
 /** Other daemons of the own failure domain that get a heartbeat in a period, beyond that size. */
-const NEAR_TARGETS = 5;
+const LOCAL_TARGETS = 5;
 /** Periods of a member of the group of holders, which are shorter, in one of which it sends to these. */
 const GROUP_ROUNDS = 3;
 /** Daemons of other failure domains that get one. */
-export const DISTANT_TARGETS = 2;
+export const REMOTE_TARGETS = 2;
 /** Members named in one heartbeat of a small fleet, or of one that does not know yet that it is large. */
 const SMALL_SAMPLE = 12;
 /** Members of the own failure domain, and of others, named in one of a large fleet: keeps it within one datagram. */
-const NEAR_SAMPLE = 8;
-const DISTANT_SAMPLE = 4;
+const LOCAL_SAMPLE = 8;
+const REMOTE_SAMPLE = 4;
 /** Members named to those who were promised heartbeats, near and distant: they get them often. */
-const PROMISED_NEAR_SAMPLE = 3;
-const PROMISED_DISTANT_SAMPLE = 1;
+const PROMISED_LOCAL_SAMPLE = 3;
+const PROMISED_REMOTE_SAMPLE = 1;
 
 /** A daemon that gets a heartbeat, and whether the next one is promised to it. */
 export interface HeartbeatTarget {
@@ -34,11 +34,11 @@
   beat: number;
 }
 
-export class HeartbeatSpread {
+export class HeartbeatFanout {
   readonly #self: FleetMember;
   #round = 0;
   /** Times that daemons outside the group of holders were sent to. */
-  #turn = 0;
+  #rotation = 0;
 
   constructor(self: FleetMember) {
     this.#self = self;
@@ -67,16 +67,16 @@
       ? group.filter((member) => member.id !== this.#self.id)
       : [];
     const near = members.filter((member) =>
-      this.#isNear(member) && !mates.includes(member)
+      this.#isLocal(member) && !mates.includes(member)
     );
-    const distant = members.filter((member) => !this.#isNear(member));
+    const distant = members.filter((member) => !this.#isLocal(member));
     const targets = mates.map((member) => ({ member, isPromised: true }));
     if (isHolder && this.#round % GROUP_ROUNDS !== 0) return targets;
-    this.#turn += 1;
+    this.#rotation += 1;
     const others = [
-      ...rotate(near, this.#turn * NEAR_TARGETS).slice(0, NEAR_TARGETS),
+      ...rotate(near, this.#rotation * LOCAL_TARGETS).slice(0, LOCAL_TARGETS),
       ...rankByRendezvous(String(this.#round), distant)
-        .slice(0, DISTANT_TARGETS),
+        .slice(0, REMOTE_TARGETS),
     ];
     return [
       ...targets,
@@ -84,7 +84,7 @@
     ];
   }
 
-  selectSmallSample(known: readonly NumberedMember[]): NamedMember[] {
+  selectSmallSample(known: readonly NumberedMember[]): GossipEntry[] {
     return this.#drawSample(known, SMALL_SAMPLE);
   }
 
@@ -92,31 +92,31 @@
   selectSample(
     known: readonly NumberedMember[],
     isPromised: boolean,
-  ): NamedMember[] {
-    const near = known.filter((each) => this.#isNear(each.member));
-    const distant = known.filter((each) => !this.#isNear(each.member));
+  ): GossipEntry[] {
+    const near = known.filter((each) => this.#isLocal(each.member));
+    const distant = known.filter((each) => !this.#isLocal(each.member));
     return [
       ...this.#drawSample(
         near,
-        isPromised ? PROMISED_NEAR_SAMPLE : NEAR_SAMPLE,
+        isPromised ? PROMISED_LOCAL_SAMPLE : LOCAL_SAMPLE,
       ),
       ...this.#drawSample(
         distant,
-        isPromised ? PROMISED_DISTANT_SAMPLE : DISTANT_SAMPLE,
+        isPromised ? PROMISED_REMOTE_SAMPLE : REMOTE_SAMPLE,
       ),
     ];
   }
 
-  #drawSample(known: readonly NumberedMember[], size: number): NamedMember[] {
+  #drawSample(known: readonly NumberedMember[], size: number): GossipEntry[] {
     const candidates = known.map(({ member, beat }) => ({
       id: member.id,
-      named: [member.id, member.ip, member.failureDomain, beat] as NamedMember,
+      named: [member.id, member.ip, member.failureDomain, beat] as GossipEntry,
     }));
     return rankByRendezvous(`${this.#self.id} ${this.#round}`, candidates)
       .slice(0, size).map((each) => each.named);
   }
 
-  #isNear(member: FleetMember): boolean {
+  #isLocal(member: FleetMember): boolean {
     return member.failureDomain === this.#self.failureDomain;
   }
 }
--- a/src/core/fleet/holder_group.ts
+++ b/src/core/fleet/holder_group.ts
@@ -7,15 +7,15 @@
 import { rankByRendezvous } from "../hashing.ts";
 
 /** Members of a group: more than half of them outlive the loss of any three, and each hears all others at a small cost. */
-export const HOLDER_GROUP_SIZE = 8;
+export const OWNER_GROUP_SIZE = 8;
 
 /** Returns the group of a failure domain, given its daemons. */
-export function selectHolderGroup<Member extends { id: string }>(
+export function selectOwnerGroup<Member extends { id: string }>(
   failureDomain: string,
   members: readonly Member[],
 ): Member[] {
   return rankByRendezvous(`holders ${failureDomain}`, members)
-    .slice(0, HOLDER_GROUP_SIZE);
+    .slice(0, OWNER_GROUP_SIZE);
 }
 
 /** Returns whether a group has the daemon in it, by its id. */
--- a/src/core/ordering/engine_holder.ts
+++ b/src/core/ordering/engine_holder.ts
@@ -21,22 +21,22 @@
   type OrderPlannerOptions,
   type PlannedOrder,
 } from "./order_planner.ts";
-import { OrderEvidence, OrderTenure } from "./order_tenure.ts";
+import { EngineOwnership, OrderEvidence } from "./order_tenure.ts";
 import { RunAdoption } from "./run_adoption.ts";
 import type {
+  ClaimConditions,
   OrderAnswer,
   OrderReport,
-  RivalKnowledge,
 } from "./tenure_state.ts";
 
 /** A report with what the engine holds. */
-export interface HeldReport extends OrderReport {
+export interface ContentsReport extends OrderReport {
   models: readonly string[];
   adapters: ReadonlyMap<string, { version: number; isComing: boolean }>;
 }
 
 /** What a holder that stops tells the next one. */
-export interface TenureHandover {
+export interface OwnershipHandover {
   /** Time since the engine last accepted an order. */
   acceptedAgeMs: Milliseconds;
   models: string[];
@@ -45,7 +45,7 @@
   adapters: [adapterPath: string, version: number, isComing: boolean][];
 }
 
-export type HolderEffect =
+export type EngineOwnerEffect =
   | { kind: "readReport"; engineId: string }
   | {
     kind: "giveOrder";
@@ -64,9 +64,9 @@
     isTakeover: boolean;
   };
 
-type BeliefEffect = Extract<HolderEffect, { kind: "belief" }>;
+type OwnershipChangeEffect = Extract<EngineOwnerEffect, { kind: "belief" }>;
 
-export interface EngineHolderOptions extends OrderPlannerOptions {
+export interface EngineOwnerOptions extends OrderPlannerOptions {
   engineId: string;
   limits: EngineLimits;
   termMs: Milliseconds;
@@ -74,9 +74,9 @@
 }
 
 /** What the daemon knows besides. */
-export interface HolderSituation extends RivalKnowledge {
+export interface OwnershipContext extends ClaimConditions {
   /** Whether this daemon should give the engine's orders. */
-  isWanted: boolean;
+  isDesiredOwner: boolean;
   /** Whether it should observe the engine, as it may come to give its orders. */
   isCandidate: boolean;
   /** Daemons that may have runs at the engine, this one included; undefined where not all are known. */
@@ -92,75 +92,78 @@
 /** Time after which a conflicting or failed order is tried again. */
 const ORDER_RETRY_MS = 60;
 
-export class EngineHolder {
-  readonly #options: EngineHolderOptions;
-  readonly #tenure: OrderTenure;
-  readonly desk: AdmissionController;
+export class EngineOwner {
+  readonly #options: EngineOwnerOptions;
+  readonly #ownership: EngineOwnership;
+  readonly admission: AdmissionController;
   readonly #planner: OrderPlanner;
-  #observed: HeldReport | undefined;
+  #observedReport: ContentsReport | undefined;
   #isReading = false;
   #lastReadAt = Number.NEGATIVE_INFINITY;
-  #ordered:
+  #pendingOrder:
     | { order: EngineOrder; evidence: OrderEvidence; sentAt: Milliseconds }
     | undefined;
   #nextOrderAt = Number.NEGATIVE_INFINITY;
   #lastOrderAt = Number.NEGATIVE_INFINITY;
-  #isInDoubt = false;
+  #needsReconciliation = false;
   /** Whether an order waits for a report that shows no restart. */
   #isVerificationDue = false;
-  #isWanted = false;
-  #rivals: RivalKnowledge = { hearsMajority: false, isUnheld: false };
+  #isDesiredOwner = false;
+  #claimConditions: ClaimConditions = { hasQuorum: false, isUnowned: false };
   /** Living peers, of which each tells a new holder of its runs; undefined in a large fleet. */
   #peers: readonly string[] | undefined;
   readonly #adoption = new RunAdoption();
   /** Whether no more orders are given, before the engine is handed over. */
-  #isEnding = false;
+  #hasStoppedOrders = false;
   readonly #models = new Set<string>();
   #limits: EngineLimits;
 
-  constructor(options: EngineHolderOptions) {
+  constructor(options: EngineOwnerOptions) {
     this.#options = options;
     this.#limits = options.limits;
-    this.#tenure = new OrderTenure({ termMs: options.termMs });
-    this.desk = new AdmissionController(
+    this.#ownership = new EngineOwnership({ termMs: options.termMs });
+    this.admission = new AdmissionController(
       new AdapterSlots(options.limits.adapterSlots),
       new BatchCapacity(options.limits),
     );
-    this.#planner = new OrderPlanner(options, this.#tenure, this.desk);
+    this.#planner = new OrderPlanner(options, this.#ownership, this.admission);
   }
 
   get engineId(): string {
     return this.#options.engineId;
   }
 
-  isHolding(): boolean {
-    return this.#tenure.isHolding();
+  isOwner(): boolean {
+    return this.#ownership.isOwner();
   }
 
   /** Returns when the report was read from which the engine is observed here. */
   get observedAt(): Milliseconds | undefined {
-    return this.#tenure.observedAt;
+    return this.#ownership.observedAt;
   }
 
   /** Returns the time until the engine may be claimed here. */
   estimateClaimMs(now: Milliseconds): Milliseconds {
-    return this.#tenure.estimateClaimMs(this.#rivals, now);
+    return this.#ownership.estimateClaimMs(this.#claimConditions, now);
   }
 
   setLimits(limits: EngineLimits): void {
     this.#limits = limits;
-    this.desk.slots.setCapacity(limits.adapterSlots);
-    this.desk.batch.setLimits(limits);
+    this.admission.slots.setCapacity(limits.adapterSlots);
+    this.admission.batch.setLimits(limits);
   }
 
   /** Counts loads from the weight store that are on their way. */
-  countComing(): number {
-    return this.isHolding() ? this.desk.slots.countLoading() : 0;
+  countLoadsInFlight(): number {
+    return this.isOwner() ? this.admission.slots.countLoading() : 0;
   }
 
   /** Takes a request for a place in; only a daemon that holds the engine may. */
-  requestPermit(request: PermitRequest, now: Milliseconds): HolderEffect[] {
-    this.desk.requestPermit(request, now);
+  requestPermit(
+    request: PermitRequest,
+    now: Milliseconds,
+  ): EngineOwnerEffect[] {
+    this.admission.requestPermit(request, now);
     return this.#takeAnswers();
   }
 
@@ -170,9 +173,9 @@
     told: { runs: readonly AdoptedRun[]; total: number },
     now: Milliseconds,
   ): void {
-    for (const run of told.runs) this.desk.adoptPermit(run, now);
-    this.#adoption.recordTold(from, told.runs.length, told.total);
-    if (this.#adoption.isComplete()) this.desk.endAdoption(now);
+    for (const run of told.runs) this.admission.adoptPermit(run, now);
+    this.#adoption.recordReported(from, told.runs.length, told.total);
+    if (this.#adoption.isComplete()) this.admission.endAdoption(now);
   }
 
   /** Notes that the engine did not run a permitted request. */
@@ -188,50 +191,53 @@
     now: Milliseconds,
   ): void {
     const { permitId, isMisdirected, delayMs, holder, backoffMs } = unusable;
-    if (backoffMs > 0) this.desk.recordBackoff(holder, backoffMs, now);
-    const isLoadLate = this.desk.recordNotReady(permitId, delayMs, now);
+    if (backoffMs > 0) this.admission.recordBackoff(holder, backoffMs, now);
+    const isLoadLate = this.admission.recordNotReady(permitId, delayMs, now);
     // What should long be there is not: only the engine itself can tell.
-    if (isMisdirected && !isLoadLate) this.#isInDoubt = true;
+    if (isMisdirected && !isLoadLate) this.#needsReconciliation = true;
   }
 
   /** Notes that this process stood still for longer than its clock says. */
   recordPause(): void {
-    this.#tenure.recordPause();
+    this.#ownership.recordPause();
   }
 
   /** Notes which start of the engine is registered: another one than is held holds nothing of before. */
   recordRegistration(bornAtUnixMs: number): void {
-    const { state } = this.#tenure;
+    const { state } = this.#ownership;
     if (state.kind !== "holding" || bornAtUnixMs === 0) return;
-    if (bornAtUnixMs !== state.bornAtUnixMs) this.#isInDoubt = true;
+    if (bornAtUnixMs !== state.bornAtUnixMs) this.#needsReconciliation = true;
   }
 
-  recordReport(report: HeldReport, now: Milliseconds): HolderEffect[] {
+  recordReport(report: ContentsReport, now: Milliseconds): EngineOwnerEffect[] {
     this.#isReading = false;
-    const wasHolding = this.isHolding();
-    const settlement = this.#tenure.recordReport(report, now);
+    const wasHolding = this.isOwner();
+    const settlement = this.#ownership.recordReport(report, now);
     if (!wasHolding) {
-      this.#observed = report;
+      this.#observedReport = report;
       return [];
     }
     switch (settlement.kind) {
       case "deposed":
         return [
-          this.#describeBelief("deposed", { sequence: report.sequence }),
-          ...this.#dropDesk(now),
+          this.#describeChange("deposed", { sequence: report.sequence }),
+          ...this.#clearAdmission(now),
         ];
       case "restarted":
-        this.desk.clearPermits();
-        this.desk.slots.clear();
-        this.#planner.recordRight(!this.#tenure.isYoung(now), now);
-        this.#recordHeld(report, now);
-        return [this.#describeBelief("engineRestarted", {})];
+        this.admission.clearPermits();
+        this.admission.slots.clear();
+        this.#planner.recordOwnership(
+          !this.#ownership.isSoleOwnerSinceRestart(now),
+          now,
+        );
+        this.#recordContents(report, now);
+        return [this.#describeChange("engineRestarted", {})];
       case "lastOrderAccepted":
       case "lastOrderNotAccepted":
       case "evictionNotCounted":
       case "none":
         this.#reconcile(report, now);
-        return [this.#describeBelief("reconciled", {
+        return [this.#describeChange("reconciled", {
           settlement: settlement.kind,
           sequence: report.sequence,
         })];
@@ -245,14 +251,14 @@
   recordOrderAnswer(
     answer: OrderAnswer,
     now: Milliseconds,
-  ): HolderEffect[] {
-    const ordered = this.#ordered;
+  ): EngineOwnerEffect[] {
+    const ordered = this.#pendingOrder;
     if (!ordered) return [];
-    this.#ordered = undefined;
+    this.#pendingOrder = undefined;
     const { evidence, sentAt } = ordered;
-    const wasProven = this.#tenure.isExclusive(now);
-    this.#tenure.recordOrderAnswer(answer, evidence, sentAt, now);
-    if (!wasProven && this.#tenure.isExclusive(now)) {
+    const wasProven = this.#ownership.isExclusive(now);
+    this.#ownership.recordOrderAnswer(answer, evidence, sentAt, now);
+    if (!wasProven && this.#ownership.isExclusive(now)) {
       this.#planner.recordProof(now);
     }
     if (answer.kind === "accepted") {
@@ -260,23 +266,23 @@
       return [];
     }
     this.#nextOrderAt = now + ORDER_RETRY_MS;
-    if (answer.kind === "rejected") this.#isInDoubt = true;
-    return [this.#describeBelief("orderNotAccepted", {
+    if (answer.kind === "rejected") this.#needsReconciliation = true;
+    return [this.#describeChange("orderNotAccepted", {
       order: ordered.order,
       answer,
     })];
   }
 
   /** Seeks or keeps the right to order, and gives the next order. */
-  tick(situation: HolderSituation, now: Milliseconds): HolderEffect[] {
-    const effects: HolderEffect[] = [];
-    this.#isWanted = situation.isWanted;
+  tick(situation: OwnershipContext, now: Milliseconds): EngineOwnerEffect[] {
+    const effects: EngineOwnerEffect[] = [];
+    this.#isDesiredOwner = situation.isDesiredOwner;
     this.#peers = situation.peers;
-    this.#rivals = situation;
-    if (!situation.isWanted) effects.push(...this.#giveUp(now));
-    if (situation.isWanted) effects.push(...this.#claim(situation, now));
-    if (this.isHolding()) {
-      this.desk.tick(now);
+    this.#claimConditions = situation;
+    if (!situation.isDesiredOwner) effects.push(...this.#releaseOwnership(now));
+    if (situation.isDesiredOwner) effects.push(...this.#claim(situation, now));
+    if (this.isOwner()) {
+      this.admission.tick(now);
       effects.push(...this.#giveNextOrder(situation, now));
       effects.push(...this.#takeAnswers());
     }
@@ -286,21 +292,24 @@
 
   /** Returns when the holder has to look again, beside the regular ticks. */
   getNextDueAt(): Milliseconds {
-    if (!this.isHolding()) return Number.POSITIVE_INFINITY;
-    const hasWork = this.desk.countWaiting() > 0;
+    if (!this.isOwner()) return Number.POSITIVE_INFINITY;
+    const hasWork = this.admission.countWaiting() > 0;
     const orderAt = hasWork ? this.#nextOrderAt : Number.POSITIVE_INFINITY;
-    return Math.min(this.desk.getNextTickAt(), orderAt);
+    return Math.min(this.admission.getNextTickAt(), orderAt);
   }
 
   /** Serves the queue and gives the next order, without waiting for the tick. */
-  pump(situation: HolderSituation, now: Milliseconds): HolderEffect[] {
-    if (!this.isHolding()) return [];
+  serveQueue(
+    situation: OwnershipContext,
+    now: Milliseconds,
+  ): EngineOwnerEffect[] {
+    if (!this.isOwner()) return [];
     const effects = this.#giveNextOrder(situation, now);
     effects.push(...this.#readIfNeeded(now));
     return [...effects, ...this.#takeAnswers()];
   }
 
-  #readIfNeeded(now: Milliseconds): HolderEffect[] {
+  #readIfNeeded(now: Milliseconds): EngineOwnerEffect[] {
     if (!this.#needsReport(now)) return [];
     this.#isReading = true;
     this.#lastReadAt = now;
@@ -308,18 +317,18 @@
   }
 
   /** Gives no more orders; returns whether one is still under way. */
-  endOrders(): boolean {
-    this.#isEnding = true;
-    return this.isHolding() && this.#ordered !== undefined;
+  stopOrders(): boolean {
+    this.#hasStoppedOrders = true;
+    return this.isOwner() && this.#pendingOrder !== undefined;
   }
 
   /** Returns what the next holder needs, and gives the engine up; undefined while an order is in doubt. */
   handOver(now: Milliseconds): {
-    handover: TenureHandover | undefined;
-    effects: HolderEffect[];
+    handover: OwnershipHandover | undefined;
+    effects: EngineOwnerEffect[];
   } {
-    const { state } = this.#tenure;
-    const canHandOver = state.kind === "holding" && !this.#ordered;
+    const { state } = this.#ownership;
+    const canHandOver = state.kind === "holding" && !this.#pendingOrder;
     const handover = canHandOver
       ? {
         sequence: state.sequence,
@@ -327,23 +336,26 @@
         // Longer ages say no more than this one, and infinity can't be sent.
         acceptedAgeMs: Math.min(now - state.acceptedAt, MAX_ACCEPTED_AGE_MS),
         models: [...this.#models],
-        adapters: this.desk.slots.listSlots().map((
+        adapters: this.admission.slots.listSlots().map((
           place,
-        ): TenureHandover["adapters"][number] => [
+        ): OwnershipHandover["adapters"][number] => [
           place.adapterPath,
           place.version ?? 0,
           place.state === "loading",
         ]),
       }
       : undefined;
-    return { handover, effects: this.#giveUp(now) };
+    return { handover, effects: this.#releaseOwnership(now) };
   }
 
-  acceptHandover(handover: TenureHandover, now: Milliseconds): HolderEffect[] {
-    if (!this.#tenure.acceptHandover(handover, now)) return [];
-    this.#takeOver(now);
-    this.#planner.recordRight(false, now);
-    this.#recordHeld({
+  acceptHandover(
+    handover: OwnershipHandover,
+    now: Milliseconds,
+  ): EngineOwnerEffect[] {
+    if (!this.#ownership.acceptHandover(handover, now)) return [];
+    this.#beginOwnership(now);
+    this.#planner.recordOwnership(false, now);
+    this.#recordContents({
       models: handover.models,
       adapters: new Map(
         handover.adapters.map(([path, version, isComing]) => [
@@ -354,7 +366,7 @@
     }, now);
     const { sequence } = handover;
     return [{
-      ...this.#describeBelief("handedOver", { sequence }),
+      ...this.#describeChange("handedOver", { sequence }),
       isTakeover: true,
     }];
   }
@@ -362,60 +374,60 @@
   /** Returns places and queue, for the operators and the log. */
   describe(): object {
     return {
-      tenure: this.#tenure.state,
-      places: this.desk.slots.listSlots().map((place) => ({
+      tenure: this.#ownership.state,
+      places: this.admission.slots.listSlots().map((place) => ({
         adapter: place.adapterPath,
         version: place.version,
         state: place.state,
         permits: place.permitIds.size,
       })),
-      waiting: this.desk.countWaiting(),
-      running: this.desk.batch.countRunning(),
+      waiting: this.admission.countWaiting(),
+      running: this.admission.batch.countRunning(),
     };
   }
 
-  #claim(situation: HolderSituation, now: Milliseconds): HolderEffect[] {
-    if (!this.#tenure.claim(situation, now)) return [];
-    this.#takeOver(now);
-    this.desk.clearPermits();
-    const isUntouched = this.#tenure.getExpectedSequence(now) === 0;
-    const mayHaveRivals = !(isUntouched && situation.hearsMajority);
-    this.#planner.recordRight(mayHaveRivals, now);
-    if (this.#observed) this.#recordHeld(this.#observed, now);
-    const sequence = this.#tenure.getExpectedSequence(now);
+  #claim(situation: OwnershipContext, now: Milliseconds): EngineOwnerEffect[] {
+    if (!this.#ownership.claim(situation, now)) return [];
+    this.#beginOwnership(now);
+    this.admission.clearPermits();
+    const isUntouched = this.#ownership.getExpectedSequence(now) === 0;
+    const mayHaveRivals = !(isUntouched && situation.hasQuorum);
+    this.#planner.recordOwnership(mayHaveRivals, now);
+    if (this.#observedReport) this.#recordContents(this.#observedReport, now);
+    const sequence = this.#ownership.getExpectedSequence(now);
     return [{
-      ...this.#describeBelief("claimed", { sequence }),
+      ...this.#describeChange("claimed", { sequence }),
       isTakeover: true,
     }];
   }
 
   /** Starts with an engine whose adapters are to be noted, and whose runs nobody has told yet. */
-  #takeOver(now: Milliseconds): void {
-    this.desk.slots.clear();
-    this.desk.beginAdoption(now);
+  #beginOwnership(now: Milliseconds): void {
+    this.admission.slots.clear();
+    this.admission.beginAdoption(now);
     this.#adoption.begin(this.#peers);
   }
 
   #giveNextOrder(
-    situation: HolderSituation,
+    situation: OwnershipContext,
     now: Milliseconds,
-  ): HolderEffect[] {
-    const expectedSequence = this.#tenure.getExpectedSequence(now);
-    const isBlocked = expectedSequence === undefined || this.#ordered ||
-      this.#isEnding ||
-      this.#isInDoubt || now < this.#nextOrderAt;
+  ): EngineOwnerEffect[] {
+    const expectedSequence = this.#ownership.getExpectedSequence(now);
+    const isBlocked = expectedSequence === undefined || this.#pendingOrder ||
+      this.#hasStoppedOrders ||
+      this.#needsReconciliation || now < this.#nextOrderAt;
     if (isBlocked) return [];
-    this.desk.slots.setFetchShare(situation.fetchShare);
+    this.admission.slots.setFetchShare(situation.fetchShare);
     const wanted = this.#findMissingModel() ??
-      this.desk.findNextOrder(situation.fetchShare.canFetch, now);
+      this.admission.findNextOrder(situation.fetchShare.canFetch, now);
     const planned = wanted &&
-      this.#planner.plan(wanted, situation.hearsMajority, now);
+      this.#planner.plan(wanted, situation.hasQuorum, now);
     this.#isVerificationDue = planned !== undefined &&
-      !this.#tenure.isVerified(planned.isContested, now);
+      !this.#ownership.isVerified(planned.isContested, now);
     if (!planned || this.#isVerificationDue) return [];
     const { order } = planned;
     const evidence = getEvidence(planned);
-    this.#ordered = { order, evidence, sentAt: now };
+    this.#pendingOrder = { order, evidence, sentAt: now };
     this.#lastOrderAt = now;
     return [{
       kind: "giveOrder",
@@ -449,7 +461,7 @@
     isDraining: boolean,
     now: Milliseconds,
   ): void {
-    const { slots: places } = this.desk;
+    const { slots: places } = this.admission;
     if (isDraining) places.recordDraining(order.adapterPath);
     else if (order.kind === "evict") places.recordEvicted(order.adapterPath);
     else if (order.adapter !== "") {
@@ -463,13 +475,13 @@
     }
   }
 
-  #recordHeld(
-    held: Pick<HeldReport, "models" | "adapters">,
+  #recordContents(
+    held: Pick<ContentsReport, "models" | "adapters">,
     now: Milliseconds,
   ): void {
     this.#models.clear();
     for (const model of held.models) this.#models.add(model);
-    this.desk.slots.reconcile(held.adapters, now);
+    this.admission.slots.reconcile(held.adapters, now);
   }
 
   #needsReport(now: Milliseconds): boolean {
@@ -477,49 +489,56 @@
       return false;
     }
     if (this.#isVerificationDue) return true;
-    if (this.#tenure.needsReport(this.#isWanted, this.#rivals, now)) {
+    if (
+      this.#ownership.needsReport(
+        this.#isDesiredOwner,
+        this.#claimConditions,
+        now,
+      )
+    ) {
       return true;
     }
-    if (!this.isHolding() || this.#ordered) return false;
-    return this.#isInDoubt || this.desk.slots.hasOverdueLoad(now) ||
-      this.desk.slots.hasDraining();
+    if (!this.isOwner() || this.#pendingOrder) return false;
+    return this.#needsReconciliation ||
+      this.admission.slots.hasOverdueLoad(now) ||
+      this.admission.slots.hasDraining();
   }
 
   /** Believes the report where it is newer than every order. */
-  #reconcile(report: HeldReport, now: Milliseconds): void {
-    const isNewer = !this.#ordered && report.readAt >= this.#lastOrderAt;
-    const { state } = this.#tenure;
+  #reconcile(report: ContentsReport, now: Milliseconds): void {
+    const isNewer = !this.#pendingOrder && report.readAt >= this.#lastOrderAt;
+    const { state } = this.#ownership;
     const isSame = state.kind === "holding" &&
       state.sequence === report.sequence;
     if (!isNewer || !isSame) return;
-    this.#isInDoubt = false;
-    this.#recordHeld(report, now);
-    this.desk.grantWaiting(now);
+    this.#needsReconciliation = false;
+    this.#recordContents(report, now);
+    this.admission.grantWaiting(now);
   }
 
-  #giveUp(now: Milliseconds): HolderEffect[] {
-    if (!this.isHolding()) return [];
-    this.#tenure.release();
-    return [this.#describeBelief("released", {}), ...this.#dropDesk(now)];
+  #releaseOwnership(now: Milliseconds): EngineOwnerEffect[] {
+    if (!this.isOwner()) return [];
+    this.#ownership.release();
+    return [this.#describeChange("released", {}), ...this.#clearAdmission(now)];
   }
 
-  #dropDesk(now: Milliseconds): HolderEffect[] {
-    this.desk.refuseAll(DenialReason.NotOwner, now);
-    this.desk.clearPermits();
-    this.#observed = undefined;
-    this.#isInDoubt = false;
+  #clearAdmission(now: Milliseconds): EngineOwnerEffect[] {
+    this.admission.refuseAll(DenialReason.NotOwner, now);
+    this.admission.clearPermits();
+    this.#observedReport = undefined;
+    this.#needsReconciliation = false;
     return this.#takeAnswers();
   }
 
-  #takeAnswers(): HolderEffect[] {
-    return this.desk.takeAnswers().map((answer) => ({
+  #takeAnswers(): EngineOwnerEffect[] {
+    return this.admission.takeAnswers().map((answer) => ({
       kind: "answerPermit",
       engineId: this.engineId,
       answer,
     }));
   }
 
-  #describeBelief(change: string, detail: object): BeliefEffect {
+  #describeChange(change: string, detail: object): OwnershipChangeEffect {
     return {
       kind: "belief",
       engineId: this.engineId,
@@ -531,7 +550,9 @@
 }
 
 /** Returns what it will show that the engine accepts the order. */
-function getEvidence({ order, isBlind }: PlannedOrder): OrderEvidence {
-  if (isBlind) return OrderEvidence.Blind;
+function getEvidence(
+  { order, isInconclusive: isBlind }: PlannedOrder,
+): OrderEvidence {
+  if (isBlind) return OrderEvidence.Inconclusive;
   return order.kind === "evict" ? OrderEvidence.Eviction : OrderEvidence.Load;
 }
--- a/src/core/ordering/fence_clock.ts
+++ b/src/core/ordering/fence_clock.ts
@@ -7,14 +7,14 @@
 import { hashText } from "../hashing.ts";
 
 /** Numbers for hosts within one millisecond; keeps the number below 2^53. */
-const HOST_SPREAD = 1_024;
+const FENCES_PER_MS = 1_024;
 
 export class FenceClock {
-  readonly #hostPart: number;
+  readonly #hostOffset: number;
   #highestMs = 0;
 
   constructor(host: string) {
-    this.#hostPart = hashText(host) % HOST_SPREAD;
+    this.#hostOffset = hashText(host) % FENCES_PER_MS;
   }
 
   /** Highest time drawn or heard, to be told to peers. */
@@ -30,6 +30,6 @@
   /** Returns the next fencing number. */
   drawFence(wallUnixMs: number): number {
     this.#highestMs = Math.max(Math.floor(wallUnixMs), this.#highestMs + 1);
-    return this.#highestMs * HOST_SPREAD + this.#hostPart;
+    return this.#highestMs * FENCES_PER_MS + this.#hostOffset;
   }
 }
--- a/src/core/ordering/holder_roles.ts
+++ b/src/core/ordering/holder_roles.ts
@@ -5,19 +5,19 @@
  * heard, sooner where all of them have just started too.
  */
 import type { FleetView } from "../fleet/fleet_view.ts";
-import { NEWCOMER_MS } from "../fleet/fleet_view.ts";
+import { RECENTLY_STARTED_MS } from "../fleet/fleet_view.ts";
 import type { FetchShare } from "../placement/fetch_window.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { HolderSituation } from "./engine_holder.ts";
+import type { OwnershipContext } from "./engine_holder.ts";
 
 /** Daemons, by rank, that observe an engine while it has no holder. */
 const OBSERVERS = 2;
 /** Time after the start before engines are sought: peers are heard by then. */
-const SETTLE_MS = 2_500;
+const STARTUP_WAIT_MS = 2_500;
 /** The same where all peers that are known have just started, too: four of a newcomer's heartbeats. */
-const NEWCOMER_SETTLE_MS = 600;
+const FLEET_START_WAIT_MS = 600;
 
-export interface HolderRolesOptions {
+export interface OwnerRolesOptions {
   fleet: FleetView;
   /** Where peers are looked for first; all of them are heard where nobody is cut off. */
   seedIps: readonly string[];
@@ -26,9 +26,9 @@
 }
 
 /** What a daemon has to do with one engine so far. */
-export interface HeldOrNot {
+export interface OwnershipStatus {
   readonly engineId: string;
-  isHolding(): boolean;
+  isOwner(): boolean;
   /** When the report was read from which the engine is observed here. */
   readonly observedAt: Milliseconds | undefined;
 }
@@ -38,52 +38,52 @@
   failureDomain: string;
 }
 
-export class HolderRoles {
-  readonly #options: HolderRolesOptions;
+export class OwnerRoles {
+  readonly #options: OwnerRolesOptions;
   /** Engines that were held here soon after the start, whether they still are or not. */
-  readonly #everHeld = new Set<string>();
+  readonly #ownedSinceStart = new Set<string>();
 
-  constructor(options: HolderRolesOptions) {
+  constructor(options: OwnerRolesOptions) {
     this.#options = options;
   }
 
   /** @param from an engine is undefined once it is registered no more. */
-  describeSituation(
+  describeContext(
     from: {
       engine: EngineIdentity | undefined;
-      holder: HeldOrNot;
+      holder: OwnershipStatus;
       fetchShare: FetchShare;
       isStopping: boolean;
     },
     now: Milliseconds,
-  ): HolderSituation {
+  ): OwnershipContext {
     const { engine, holder, fetchShare, isStopping } = from;
     const { fleet, startedAt } = this.#options;
     const isUnheld = engine !== undefined &&
-      this.#isUnheld(engine, holder, now);
-    const settleMs = isUnheld ? NEWCOMER_SETTLE_MS : SETTLE_MS;
+      this.#isUnowned(engine, holder, now);
+    const settleMs = isUnheld ? FLEET_START_WAIT_MS : STARTUP_WAIT_MS;
     const isSettled = now - startedAt > settleMs;
     if (!engine || !isSettled || isStopping) {
       return {
-        isWanted: holder.isHolding(),
+        isDesiredOwner: holder.isOwner(),
         // Who else there is is not known yet: the engines nearby are the likeliest to be held here.
         isCandidate: engine !== undefined && !isStopping &&
           engine.failureDomain === fleet.self.failureDomain,
-        hearsMajority: false,
-        isUnheld: false,
+        hasQuorum: false,
+        isUnowned: false,
         peers: this.#listPeers(now),
         // Who holds an engine already, by a quick claim or a handover, goes on with it.
-        fetchShare: holder.isHolding()
+        fetchShare: holder.isOwner()
           ? fetchShare
           : { ...fetchShare, canFetch: false },
       };
     }
-    const isWanted = this.#isWanted(engine, holder, now);
+    const isWanted = this.#isDesiredOwner(engine, holder, now);
     return {
-      isWanted,
+      isDesiredOwner: isWanted,
       isCandidate: isWanted || this.#isObserver(engine, now),
-      hearsMajority: fleet.isHearingMajority(engine.failureDomain, now),
-      isUnheld,
+      hasQuorum: fleet.hasQuorum(engine.failureDomain, now),
+      isUnowned: isUnheld,
       peers: this.#listPeers(now),
       fetchShare,
     };
@@ -93,51 +93,53 @@
   #listPeers(now: Milliseconds): string[] | undefined {
     const { fleet } = this.#options;
     if (!fleet.isFullMesh()) return undefined;
-    const peers = fleet.listLiving(now).map(({ sender }) => sender.id);
+    const peers = fleet.listAlive(now).map(({ sender }) => sender.id);
     return [fleet.self.id, ...peers];
   }
 
   /** Remembers which engines a newcomer held; nobody asks an older daemon. */
-  recordHeld(holder: HeldOrNot, now: Milliseconds): void {
-    if (!holder.isHolding() || !this.#isNewcomer(now)) return;
-    this.#everHeld.add(holder.engineId);
+  recordOwned(holder: OwnershipStatus, now: Milliseconds): void {
+    if (!holder.isOwner() || !this.#isRecentlyStarted(now)) return;
+    this.#ownedSinceStart.add(holder.engineId);
   }
 
   /** Returns the engines that were held here since the start, undefined when that was long ago. */
-  listNewcomerHeld(now: Milliseconds): string[] | undefined {
-    return this.#isNewcomer(now) ? [...this.#everHeld] : undefined;
+  listOwnedSinceStart(now: Milliseconds): string[] | undefined {
+    return this.#isRecentlyStarted(now)
+      ? [...this.#ownedSinceStart]
+      : undefined;
   }
 
-  #isNewcomer(now: Milliseconds): boolean {
-    return now - this.#options.startedAt < NEWCOMER_MS;
+  #isRecentlyStarted(now: Milliseconds): boolean {
+    return now - this.#options.startedAt < RECENTLY_STARTED_MS;
   }
 
   /** Returns whether neither this daemon nor a peer has held the engine since all of them started. */
-  #isUnheld(
+  #isUnowned(
     engine: EngineIdentity,
-    { observedAt }: HeldOrNot,
+    { observedAt }: OwnershipStatus,
     now: Milliseconds,
   ): boolean {
     const { fleet, seedIps } = this.#options;
-    return observedAt !== undefined && this.#isNewcomer(now) &&
-      !this.#everHeld.has(engine.id) &&
-      fleet.isUnheld(engine, { since: observedAt, seedIps }, now);
+    return observedAt !== undefined && this.#isRecentlyStarted(now) &&
+      !this.#ownedSinceStart.has(engine.id) &&
+      fleet.isUnowned(engine, { since: observedAt, seedIps }, now);
   }
 
-  #isWanted(
+  #isDesiredOwner(
     engine: EngineIdentity,
-    holder: HeldOrNot,
+    holder: OwnershipStatus,
     now: Milliseconds,
   ): boolean {
     const { fleet } = this.#options;
     const selfId = fleet.self.id;
-    const otherHolder = fleet.findHolder(engine.id, now);
+    const otherHolder = fleet.findOwner(engine.id, now);
     if (otherHolder === undefined) {
-      return holder.isHolding() ||
-        fleet.rankHolders(engine, false, now)[0]?.id === selfId;
+      return holder.isOwner() ||
+        fleet.rankOwners(engine, false, now)[0]?.id === selfId;
     }
-    if (!holder.isHolding()) return false;
-    const ranked = fleet.rankHolders(engine, false, now);
+    if (!holder.isOwner()) return false;
+    const ranked = fleet.rankOwners(engine, false, now);
     const own = ranked.findIndex((member) => member.id === selfId);
     const other = ranked.findIndex((member) => member.id === otherHolder);
     if (own < 0 && other < 0) return selfId < otherHolder;
@@ -147,8 +149,8 @@
   /** The first in rank observe an engine that nobody holds, so that a term has passed when one must claim it. */
   #isObserver(engine: EngineIdentity, now: Milliseconds): boolean {
     const { fleet } = this.#options;
-    if (fleet.findHolder(engine.id, now) !== undefined) return false;
-    return fleet.rankHolders(engine, false, now).slice(0, OBSERVERS)
+    if (fleet.findOwner(engine.id, now) !== undefined) return false;
+    return fleet.rankOwners(engine, false, now).slice(0, OBSERVERS)
       .some((member) => member.id === fleet.self.id);
   }
 }
--- a/src/core/ordering/order_planner.ts
+++ b/src/core/ordering/order_planner.ts
@@ -9,15 +9,15 @@
   EngineOrder,
 } from "../admission/engine_desk.ts";
 import type { Milliseconds } from "../structures.ts";
-import { CONTESTED_WINDOW_MS, type OrderTenure } from "./order_tenure.ts";
+import { CONTESTED_WINDOW_MS, type EngineOwnership } from "./order_tenure.ts";
 import { selectProvingOrder } from "./proving_order.ts";
 
 /** Time for which a new holder evicts only what no rival would: a term, after which rivals have seen it order. */
-const PROOF_PATIENCE_MS = 3_000;
+const PROOF_OWN_SHARE_MS = 3_000;
 /** Part of a turn in which a contested order may be given: a look at the engine and the order take some ticks. */
-const CONTESTED_OPENING_MS = 500;
+const TURN_SEND_WINDOW_MS = 500;
 /** Length of a turn for contested orders: what was given in one is seen in the next. */
-const CONTESTED_TURN_MS = CONTESTED_OPENING_MS + CONTESTED_WINDOW_MS;
+const CONTESTED_TURN_MS = TURN_SEND_WINDOW_MS + CONTESTED_WINDOW_MS;
 
 /** An order that is due, and what its acceptance will be worth. */
 export interface PlannedOrder {
@@ -25,42 +25,42 @@
   /** Whether a rival may give one too, so that the engine is looked at right before. */
   isContested: boolean;
   /** Whether a rival's would be accepted too, also after this one. */
-  isBlind: boolean;
+  isInconclusive: boolean;
 }
 
 export interface OrderPlannerOptions {
   selfId: string;
   /** Returns the daemons, foremost first, that may take the engine over at the same time. */
-  listRivals: () => readonly string[];
+  listClaimants: () => readonly string[];
   /** Names an adapter of a model that hardly any other daemon names; undefined when it has none. */
   selectOwnAdapter: (model: string) => string | undefined;
 }
 
 export class OrderPlanner {
   readonly #options: OrderPlannerOptions;
-  readonly #tenure: OrderTenure;
-  readonly #desk: AdmissionController;
+  readonly #ownership: EngineOwnership;
+  readonly #admission: AdmissionController;
   /** When the engine was claimed, handed over or found restarted. */
-  #heldSince = Number.NEGATIVE_INFINITY;
+  #ownedSince = Number.NEGATIVE_INFINITY;
   /** Whether others may have taken the engine over at the same time. */
-  #mayHaveRivals = false;
+  #mayHaveOtherClaimants = false;
   /** When the engine accepted the order that proved the right to give more. */
   #provenAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     options: OrderPlannerOptions,
-    tenure: OrderTenure,
+    tenure: EngineOwnership,
     desk: AdmissionController,
   ) {
     this.#options = options;
-    this.#tenure = tenure;
-    this.#desk = desk;
+    this.#ownership = tenure;
+    this.#admission = desk;
   }
 
   /** Notes that the right to order was taken, and whether others may have taken it too. */
-  recordRight(mayHaveRivals: boolean, now: Milliseconds): void {
-    this.#heldSince = now;
-    this.#mayHaveRivals = mayHaveRivals;
+  recordOwnership(mayHaveRivals: boolean, now: Milliseconds): void {
+    this.#ownedSince = now;
+    this.#mayHaveOtherClaimants = mayHaveRivals;
   }
 
   /** Notes that an order was accepted that shows that nobody else gives any. */
@@ -77,18 +77,19 @@
     hearsMajority: boolean,
     now: Milliseconds,
   ): PlannedOrder | undefined {
-    const isProven = this.#tenure.isExclusive(now);
+    const isProven = this.#ownership.isExclusive(now);
     // A rival that has not seen the proof yet may still evict of its share.
-    const isShared = wanted.kind === "evict" && this.#mayHaveRivals &&
+    const isShared = wanted.kind === "evict" && this.#mayHaveOtherClaimants &&
       now - this.#provenAt < CONTESTED_WINDOW_MS;
-    if (isProven && !isShared) return createPlainOrder(wanted);
+    if (isProven && !isShared) return createUncontestedOrder(wanted);
     if (wanted.adapter !== "") {
       return this.#planProvingOrder(wanted.model, hearsMajority, now);
     }
-    const isAlone = hearsMajority || this.#tenure.isYoung(now);
-    if (isAlone) return createPlainOrder(wanted);
+    const isAlone = hearsMajority ||
+      this.#ownership.isSoleOwnerSinceRestart(now);
+    if (isAlone) return createUncontestedOrder(wanted);
     return this.#isContestedTurn(now)
-      ? { order: wanted, isContested: true, isBlind: true }
+      ? { order: wanted, isContested: true, isInconclusive: true }
       : undefined;
   }
 
@@ -99,15 +100,15 @@
    * holder any more.
    */
   #isContestedTurn(now: Milliseconds): boolean {
-    const { selfId, listRivals } = this.#options;
-    if (this.#tenure.canBeHeldSinceStart(now)) return false;
-    const ageMs = this.#tenure.getEngineAgeMs(now) ?? 0;
+    const { selfId, listClaimants: listRivals } = this.#options;
+    if (this.#ownership.canBeOwnedSinceStart(now)) return false;
+    const ageMs = this.#ownership.getEngineAgeMs(now) ?? 0;
     const rivals = listRivals();
     const index = rivals.indexOf(selfId);
     const turn = index < 0 ? rivals.length : index;
     const cycleMs = (rivals.length + 1) * CONTESTED_TURN_MS;
     const sinceTurnMs = (ageMs - turn * CONTESTED_TURN_MS) % cycleMs;
-    return sinceTurnMs >= 0 && sinceTurnMs < CONTESTED_OPENING_MS;
+    return sinceTurnMs >= 0 && sinceTurnMs < TURN_SEND_WINDOW_MS;
   }
 
   #planProvingOrder(
@@ -115,25 +116,26 @@
     hearsMajority: boolean,
     now: Milliseconds,
   ): PlannedOrder | undefined {
-    const { selfId, selectOwnAdapter, listRivals } = this.#options;
-    const { slots: places } = this.#desk;
-    const isPatienceOver = now - this.#heldSince > PROOF_PATIENCE_MS;
+    const { selfId, selectOwnAdapter, listClaimants: listRivals } =
+      this.#options;
+    const { slots: places } = this.#admission;
+    const isPatienceOver = now - this.#ownedSince > PROOF_OWN_SHARE_MS;
     const order = selectProvingOrder({
       selfId,
-      rivals: listRivals(),
-      mayTakeAny: !this.#mayHaveRivals || (isPatienceOver &&
+      claimants: listRivals(),
+      mayEvictAny: !this.#mayHaveOtherClaimants || (isPatienceOver &&
         (hearsMajority || this.#isContestedTurn(now))),
       model,
       ownAdapter: selectOwnAdapter(model),
-      idlePaths: this.#desk.listEvictable(now)
+      idlePaths: this.#admission.listEvictable(now)
         .map((place) => place.adapterPath),
-      hasRoom: places.hasFreeSlot(),
-      isHeld: (adapterPath) => places.getSlot(adapterPath) !== undefined,
+      hasFreeSlot: places.hasFreeSlot(),
+      hasAdapter: (adapterPath) => places.getSlot(adapterPath) !== undefined,
     });
-    return order && { order, isContested: true, isBlind: false };
+    return order && { order, isContested: true, isInconclusive: false };
   }
 }
 
-function createPlainOrder(order: EngineOrder): PlannedOrder {
-  return { order, isContested: false, isBlind: false };
+function createUncontestedOrder(order: EngineOrder): PlannedOrder {
+  return { order, isContested: false, isInconclusive: false };
 }
--- a/src/core/ordering/order_tenure.ts
+++ b/src/core/ordering/order_tenure.ts
@@ -17,19 +17,19 @@
  */
 import type { Milliseconds } from "../structures.ts";
 import type {
-  HeldEngine,
-  HoldingState,
+  AcquiredOwnership,
+  ClaimConditions,
   OrderAnswer,
   OrderReport,
-  RivalKnowledge,
+  OwnedState,
+  OwnershipState,
   Settlement,
-  TenureState,
 } from "./tenure_state.ts";
 
 /** What it shows that an engine accepted an order. */
 export const OrderEvidence = {
   /** Nothing: a rival's same order would have been accepted too. */
-  Blind: "blind",
+  Inconclusive: "blind",
   /** That nobody else has ordered; one of an adapter that was not there yet, or no more, is not counted. */
   Eviction: "eviction",
   /** That nobody else has ordered, and that the order was counted. */
@@ -37,7 +37,7 @@
 } as const;
 export type OrderEvidence = (typeof OrderEvidence)[keyof typeof OrderEvidence];
 
-export interface OrderTenureOptions {
+export interface EngineOwnershipOptions {
   /** Time within which two holders may not take turns; from the platform. */
   termMs: Milliseconds;
 }
@@ -47,9 +47,9 @@
 /** Age of the oldest state that a report may give: the protocol says some hundred milliseconds. */
 export const REPORT_LAG_MS = 450;
 /** Time from the first report of an engine that nobody alive has held to the one that shows the same: the others' word comes between. */
-const UNHELD_OBSERVATION_MS = 700;
+const UNOWNED_OBSERVATION_MS = 700;
 /** Longest time that a handover is taken to be on its way. */
-const HANDOVER_TRAVEL_MS = 300;
+const MAX_HANDOVER_DELAY_MS = 300;
 /** Time for which an accepted order or a report shows that the engine has not restarted: a restart takes longer. */
 const VERIFIED_MS = 800;
 /** Shortest time for which an engine that crashes is down: the users' days play two seconds and more. */
@@ -59,19 +59,19 @@
 /** Time after a contested order in which a rival may give the same one without seeing it. */
 export const CONTESTED_WINDOW_MS = CONTESTED_VERIFIED_MS + REPORT_LAG_MS;
 
-export class OrderTenure {
-  readonly #options: OrderTenureOptions;
-  #state: TenureState = { kind: "idle" };
+export class EngineOwnership {
+  readonly #options: EngineOwnershipOptions;
+  #state: OwnershipState = { kind: "idle" };
 
-  constructor(options: OrderTenureOptions) {
+  constructor(options: EngineOwnershipOptions) {
     this.#options = options;
   }
 
-  get state(): TenureState {
+  get state(): OwnershipState {
     return this.#state;
   }
 
-  isHolding(): boolean {
+  isOwner(): boolean {
     return this.#state.kind === "holding" || this.#state.kind === "unsettled";
   }
 
@@ -111,22 +111,22 @@
   }
 
   /** Returns whether somebody may take itself for the engine's only holder since its start. */
-  canBeHeldSinceStart(now: Milliseconds): boolean {
+  canBeOwnedSinceStart(now: Milliseconds): boolean {
     const ageMs = this.getEngineAgeMs(now);
-    return ageMs !== undefined && ageMs < this.#getYouthMs();
+    return ageMs !== undefined && ageMs < this.#getSoleOwnershipMs();
   }
 
   /**
    * Returns whether the engine started so lately that nobody can have observed it
    * for a term by the time at which everybody sees an order that is given now.
    */
-  isYoung(now: Milliseconds): boolean {
+  isSoleOwnerSinceRestart(now: Milliseconds): boolean {
     return this.#state.kind === "holding" && this.#state.isHeldSinceStart &&
-      now - this.#state.startedAt < this.#getYouthMs();
+      now - this.#state.startedAt < this.#getSoleOwnershipMs();
   }
 
   /** Returns the age of an engine up to which its holder since the start orders alone. */
-  #getYouthMs(): Milliseconds {
+  #getSoleOwnershipMs(): Milliseconds {
     return this.#options.termMs - CONTESTED_WINDOW_MS;
   }
 
@@ -136,7 +136,7 @@
    */
   needsReport(
     isWanted: boolean,
-    rivals: RivalKnowledge,
+    rivals: ClaimConditions,
     now: Milliseconds,
   ): boolean {
     switch (this.#state.kind) {
@@ -148,8 +148,8 @@
         return now >= this.#state.readableAt;
       case "observing":
         if (!isWanted) return false;
-        if (rivals.isUnheld && !this.#isConfirmedUnheld()) {
-          return now - this.#state.observedAt >= UNHELD_OBSERVATION_MS;
+        if (rivals.isUnowned && !this.#isConfirmedUnowned()) {
+          return now - this.#state.observedAt >= UNOWNED_OBSERVATION_MS;
         }
         return this.#canClaim(rivals, now) && !this.#isConfirmed(now);
       case "holding":
@@ -164,26 +164,26 @@
    * between two equal reports, that they never held it, as after a restart of the
    * whole fleet: who ordered before is no more.
    */
-  isTermOver(rivals: RivalKnowledge, now: Milliseconds): boolean {
+  isClaimable(rivals: ClaimConditions, now: Milliseconds): boolean {
     return this.#canClaim(rivals, now) && this.#isConfirmed(now);
   }
 
   /** Returns whether the engine may be claimed once a report shows what was observed. */
-  #canClaim(rivals: RivalKnowledge, now: Milliseconds): boolean {
+  #canClaim(rivals: ClaimConditions, now: Milliseconds): boolean {
     if (this.#state.kind !== "observing") return false;
-    const isUntouched = this.#state.sequence === 0 && rivals.hearsMajority;
-    return isUntouched || this.#isWholeTermOver(now) ||
-      (rivals.isUnheld && this.#isConfirmedUnheld());
+    const isUntouched = this.#state.sequence === 0 && rivals.hasQuorum;
+    return isUntouched || this.#hasTermElapsed(now) ||
+      (rivals.isUnowned && this.#isConfirmedUnowned());
   }
 
   /** Returns whether a second report came late enough to show an order that others' word did not. */
-  #isConfirmedUnheld(): boolean {
+  #isConfirmedUnowned(): boolean {
     return this.#state.kind === "observing" &&
       this.#state.confirmedAt - this.#state.observedAt >=
-        UNHELD_OBSERVATION_MS;
+        UNOWNED_OBSERVATION_MS;
   }
 
-  #isWholeTermOver(now: Milliseconds): boolean {
+  #hasTermElapsed(now: Milliseconds): boolean {
     return this.#state.kind === "observing" &&
       now - this.#state.observedAt >= this.#options.termMs + TERM_MARGIN_MS;
   }
@@ -201,19 +201,21 @@
   }
 
   /** Returns the time until the engine may be claimed, a whole term where no report was read. */
-  estimateClaimMs(rivals: RivalKnowledge, now: Milliseconds): Milliseconds {
+  estimateClaimMs(rivals: ClaimConditions, now: Milliseconds): Milliseconds {
     const wholeTermMs = this.#options.termMs + TERM_MARGIN_MS;
     if (this.#state.kind !== "observing") return wholeTermMs;
-    const observationMs = rivals.isUnheld ? UNHELD_OBSERVATION_MS : wholeTermMs;
+    const observationMs = rivals.isUnowned
+      ? UNOWNED_OBSERVATION_MS
+      : wholeTermMs;
     return Math.max(0, this.#state.observedAt + observationMs - now);
   }
 
   /** Takes the right to order, once the term is over. */
-  claim(rivals: RivalKnowledge, now: Milliseconds): boolean {
+  claim(rivals: ClaimConditions, now: Milliseconds): boolean {
     if (this.#state.kind !== "observing") return false;
-    if (!this.isTermOver(rivals, now)) return false;
+    if (!this.isClaimable(rivals, now)) return false;
     const { sequence, bornAtUnixMs, startedAt, confirmedAt } = this.#state;
-    this.#hold({
+    this.#takeOwnership({
       sequence,
       bornAtUnixMs,
       startedAt,
@@ -233,12 +235,12 @@
     },
     now: Milliseconds,
   ): boolean {
-    if (this.isHolding() || this.#state.kind === "deposed") return false;
-    this.#hold({
+    if (this.isOwner() || this.#state.kind === "deposed") return false;
+    this.#takeOwnership({
       sequence: handover.sequence,
       bornAtUnixMs: handover.bornAtUnixMs,
       startedAt: Number.NEGATIVE_INFINITY,
-      acceptedAt: now - handover.acceptedAgeMs - HANDOVER_TRAVEL_MS,
+      acceptedAt: now - handover.acceptedAgeMs - MAX_HANDOVER_DELAY_MS,
       verifiedAt: now,
     }, now);
     return true;
@@ -286,7 +288,7 @@
         else this.#state = { ...this.#state, confirmedAt: report.readAt };
         return { kind: "none" };
       case "holding":
-        return this.#checkHolding(this.#state, report, now);
+        return this.#checkOwned(this.#state, report, now);
       case "unsettled":
         return this.#settle(this.#state, report, now);
     }
@@ -299,7 +301,7 @@
     now: Milliseconds,
   ): void {
     if (this.#state.kind !== "holding") return;
-    const isBlind = evidence === OrderEvidence.Blind;
+    const isBlind = evidence === OrderEvidence.Inconclusive;
     switch (answer.kind) {
       case "accepted":
         this.#state = {
@@ -341,7 +343,7 @@
   }
 
   /** Holds the engine; orders may be given from now on. */
-  #hold(held: HeldEngine, now: Milliseconds): void {
+  #takeOwnership(held: AcquiredOwnership, now: Milliseconds): void {
     this.#state = {
       kind: "holding",
       ordersFrom: now,
@@ -362,13 +364,13 @@
     };
   }
 
-  #checkHolding(
-    state: HoldingState,
+  #checkOwned(
+    state: OwnedState,
     report: OrderReport,
     now: Milliseconds,
   ): Settlement {
     if (report.bornAtUnixMs !== state.bornAtUnixMs) {
-      return this.#followRestart(state.acceptedAt, report, now);
+      return this.#handleRestart(state.acceptedAt, report, now);
     }
     if (report.sequence > state.sequence) return this.#depose(now);
     this.#state = {
@@ -380,18 +382,18 @@
   }
 
   #settle(
-    state: Extract<TenureState, { kind: "unsettled" }>,
+    state: Extract<OwnershipState, { kind: "unsettled" }>,
     report: OrderReport,
     now: Milliseconds,
   ): Settlement {
     if (report.readAt < state.readableAt) return { kind: "none" };
     if (report.bornAtUnixMs !== state.bornAtUnixMs) {
-      return this.#followRestart(state.acceptedAt, report, now);
+      return this.#handleRestart(state.acceptedAt, report, now);
     }
     if (report.sequence === state.sequence) {
       const { sequence, bornAtUnixMs, startedAt, acceptedAt, countedAt } =
         state;
-      this.#hold({
+      this.#takeOwnership({
         sequence,
         bornAtUnixMs,
         startedAt,
@@ -406,7 +408,7 @@
       report.readAt - state.countedAt < this.#options.termMs;
     if (isMiscounted) {
       const { bornAtUnixMs, startedAt, countedAt } = state;
-      this.#hold({
+      this.#takeOwnership({
         sequence: report.sequence,
         bornAtUnixMs,
         startedAt,
@@ -421,7 +423,7 @@
       report.readAt - state.acceptedAt < this.#options.termMs;
     if (!isOwn) return this.#depose(now);
     const { bornAtUnixMs, startedAt, sentAt } = state;
-    this.#hold({
+    this.#takeOwnership({
       sequence: report.sequence,
       bornAtUnixMs,
       startedAt,
@@ -436,7 +438,7 @@
    * An engine that restarted has accepted nothing, unless somebody was faster.
    * @param acceptedAt when it last accepted an order from here before.
    */
-  #followRestart(
+  #handleRestart(
     acceptedAt: Milliseconds,
     report: OrderReport,
     now: Milliseconds,
@@ -446,7 +448,7 @@
     // Whoever else claimed it first waited a term, and it was down for a while.
     const isHeldSinceStart =
       startedAt - acceptedAt < this.#options.termMs + MIN_RESTART_MS;
-    this.#hold({
+    this.#takeOwnership({
       sequence: 0,
       bornAtUnixMs: report.bornAtUnixMs,
       startedAt,
--- a/src/core/ordering/proving_order.ts
+++ b/src/core/ordering/proving_order.ts
@@ -14,12 +14,12 @@
 import { formatAdapterPath } from "../placement/adapter_path.ts";
 
 /** What the engine holds, as far as it bears on the choice. */
-export interface ProvingSituation {
+export interface ProvingOrderInput {
   selfId: string;
   /** Daemons that may take the engine over at the same time, this one perhaps among them. */
-  rivals: readonly string[];
+  claimants: readonly string[];
   /** Whether an adapter of a rival's share may be evicted, when none is left of the own. */
-  mayTakeAny: boolean;
+  mayEvictAny: boolean;
   /** Model of the adapters. */
   model: string;
   /** Adapter that hardly any other daemon names; undefined when the model has none. */
@@ -27,15 +27,16 @@
   /** Adapters that are resident and in nobody's use. */
   idlePaths: readonly string[];
   /** Whether a slot is free. */
-  hasRoom: boolean;
-  isHeld: (adapterPath: string) => boolean;
+  hasFreeSlot: boolean;
+  hasAdapter: (adapterPath: string) => boolean;
 }
 
 /** Returns the order, or undefined while the engine has no room and nothing idle that may go. */
 export function selectProvingOrder(
-  situation: ProvingSituation,
+  situation: ProvingOrderInput,
 ): EngineOrder | undefined {
-  const { model, ownAdapter, hasRoom, isHeld } = situation;
+  const { model, ownAdapter, hasFreeSlot: hasRoom, hasAdapter: isHeld } =
+    situation;
   const ownPath = formatAdapterPath(model, ownAdapter ?? "");
   if (ownAdapter !== undefined && hasRoom && !isHeld(ownPath)) {
     return {
@@ -47,12 +48,12 @@
     };
   }
   const own = selectVictim(situation, listOwnShare(situation));
-  if (own || !situation.mayTakeAny) return own;
+  if (own || !situation.mayEvictAny) return own;
   return selectVictim(situation, situation.idlePaths);
 }
 
-function listOwnShare(situation: ProvingSituation): string[] {
-  const { selfId, rivals, idlePaths } = situation;
+function listOwnShare(situation: ProvingOrderInput): string[] {
+  const { selfId, claimants: rivals, idlePaths } = situation;
   const sharers = [...new Set([...rivals, selfId])].map((id) => ({ id }));
   return idlePaths.filter((path) =>
     findRendezvousWinner(path, sharers)?.id === selfId
@@ -60,7 +61,7 @@
 }
 
 function selectVictim(
-  { selfId }: ProvingSituation,
+  { selfId }: ProvingOrderInput,
   paths: readonly string[],
 ): EngineOrder | undefined {
   const victim = findRendezvousWinner(selfId, paths.map((id) => ({ id })))?.id;
--- a/src/core/ordering/run_adoption.ts
+++ b/src/core/ordering/run_adoption.ts
@@ -5,22 +5,22 @@
  */
 export class RunAdoption {
   /** Runs told so far, by the daemons that are still to tell of some. */
-  #untold: Map<string, number> | undefined;
+  #pendingPeers: Map<string, number> | undefined;
 
   /** @param peers daemons that may have runs; undefined where not all are known. */
   begin(peers: readonly string[] | undefined): void {
-    this.#untold = peers && new Map(peers.map((peer) => [peer, 0]));
+    this.#pendingPeers = peers && new Map(peers.map((peer) => [peer, 0]));
   }
 
   /** Notes that a daemon has told of some of its runs, and how many it has in all. */
-  recordTold(peer: string, runs: number, total: number): void {
-    const before = this.#untold?.get(peer);
+  recordReported(peer: string, runs: number, total: number): void {
+    const before = this.#pendingPeers?.get(peer);
     if (before === undefined) return;
-    if (before + runs >= total) this.#untold?.delete(peer);
-    else this.#untold?.set(peer, before + runs);
+    if (before + runs >= total) this.#pendingPeers?.delete(peer);
+    else this.#pendingPeers?.set(peer, before + runs);
   }
 
   isComplete(): boolean {
-    return this.#untold !== undefined && this.#untold.size === 0;
+    return this.#pendingPeers !== undefined && this.#pendingPeers.size === 0;
   }
 }
--- a/src/core/ordering/tenure_state.ts
+++ b/src/core/ordering/tenure_state.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds } from "../structures.ts";
 
 /** What one daemon believes of its right to order one engine. */
-export type TenureState =
+export type OwnershipState =
   /** Nobody here wants the engine, or no report has been read yet. */
   | { kind: "idle" }
   /** A report was read; the term runs. */
@@ -51,15 +51,15 @@
   /** Another daemon has ordered since; this one stays away until then. */
   | { kind: "deposed"; until: Milliseconds };
 
-export type HoldingState = Extract<TenureState, { kind: "holding" }>;
+export type OwnedState = Extract<OwnershipState, { kind: "holding" }>;
 
 /** What differs between the ways to hold an engine. */
-export type HeldEngine =
+export type AcquiredOwnership =
   & Omit<
-    HoldingState,
+    OwnedState,
     "kind" | "ordersFrom" | "isHeldSinceStart" | "countedAt"
   >
-  & Partial<Pick<HoldingState, "isHeldSinceStart" | "countedAt">>;
+  & Partial<Pick<OwnedState, "isHeldSinceStart" | "countedAt">>;
 
 /** An engine's own account of the orders that it accepted. */
 export interface OrderReport {
@@ -96,9 +96,9 @@
   | { kind: "deposed" };
 
 /** What is known of others that may hold the engine. */
-export interface RivalKnowledge {
+export interface ClaimConditions {
   /** Whether this daemon hears most of those that it knows. */
-  hearsMajority: boolean;
+  hasQuorum: boolean;
   /** Whether all others said, since the report that is observed, that they never held it. */
-  isUnheld: boolean;
+  isUnowned: boolean;
 }
--- a/src/gateway/engine_place_finder.ts
+++ b/src/gateway/engine_place_finder.ts
@@ -170,7 +170,7 @@
   #computeDemand(placementKey: string, now: Milliseconds): DomainDemand {
     const { demand, engines, failureDomain, fleet } = this.#context;
     const rate = demand.getRate(placementKey, now);
-    const hosts = fleet.countLivingIn(failureDomain, now);
+    const hosts = fleet.countAliveIn(failureDomain, now);
     return {
       failureDomain,
       concurrentRuns: hosts * rate.requestsPerMs * engines.permits.meanRunMs,
--- a/src/gateway/engine_task.ts
+++ b/src/gateway/engine_task.ts
@@ -11,11 +11,11 @@
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import { PauseDetector } from "../core/fleet/pause_detector.ts";
 import {
-  EngineHolder,
-  type HolderEffect,
-  type HolderSituation,
+  EngineOwner,
+  type EngineOwnerEffect,
+  type OwnershipContext,
 } from "../core/ordering/engine_holder.ts";
-import { HolderRoles } from "../core/ordering/holder_roles.ts";
+import { OwnerRoles } from "../core/ordering/holder_roles.ts";
 import type { FetchShare } from "../core/placement/fetch_window.ts";
 import type { FenceClock } from "../core/ordering/fence_clock.ts";
 import type { Milliseconds } from "../core/structures.ts";
@@ -60,14 +60,14 @@
 
 export class EngineTask {
   readonly #options: EngineTaskOptions;
-  readonly #owners = new Map<string, EngineHolder>();
+  readonly #owners = new Map<string, EngineOwner>();
   /** Asks for places at engines, here or at other daemons. */
   readonly permits: PermitClient;
   readonly #pauseDetector = new PauseDetector(performance.now(), Date.now());
   readonly #activeEngines = new Set<string>();
   readonly #fetchLimiter: FetchLimiter;
   #rolesUpdatedAt = Number.NEGATIVE_INFINITY;
-  readonly #roles: HolderRoles;
+  readonly #roles: OwnerRoles;
   #isStopping = false;
   #timer: ReturnType<typeof setTimeout> | undefined;
   #nextTickAt = Number.POSITIVE_INFINITY;
@@ -75,7 +75,7 @@
   constructor(options: EngineTaskOptions) {
     this.#options = options;
     this.#fetchLimiter = new FetchLimiter(options);
-    this.#roles = new HolderRoles({
+    this.#roles = new OwnerRoles({
       fleet: options.fleet,
       seedIps: options.seedIps,
       startedAt: performance.now(),
@@ -101,19 +101,19 @@
 
   listOwnedEngines(): string[] {
     return [...this.#activeEngines].filter((engineId) =>
-      this.#owners.get(engineId)?.isHolding()
+      this.#owners.get(engineId)?.isOwner()
     );
   }
 
   /** Returns the engines that were held here since the start, undefined when that was long ago. */
   listOwnedSinceStart(now: Milliseconds): string[] | undefined {
-    return this.#roles.listNewcomerHeld(now);
+    return this.#roles.listOwnedSinceStart(now);
   }
 
   countFetches(): number {
     let count = 0;
     for (const engineId of this.#activeEngines) {
-      count += this.#owners.get(engineId)?.countComing() ?? 0;
+      count += this.#owners.get(engineId)?.countLoadsInFlight() ?? 0;
     }
     return count;
   }
@@ -138,7 +138,7 @@
     const now = performance.now();
     const { fleet } = this.#options;
     const isKnown = this.#getOwned(engineId) !== undefined ||
-      fleet.findHolder(engineId, now) !== undefined;
+      fleet.findOwner(engineId, now) !== undefined;
     return isKnown ||
       (!fleet.isFullMesh() && !this.permits.isUnowned(engineId, now));
   }
@@ -149,7 +149,7 @@
     let soonestMs = this.#options.termMs;
     for (const engineId of this.#activeEngines) {
       const owner = this.#owners.get(engineId);
-      if (!owner || owner.isHolding()) continue;
+      if (!owner || owner.isOwner()) continue;
       soonestMs = Math.min(soonestMs, owner.estimateClaimMs(now));
     }
     return soonestMs;
@@ -167,12 +167,12 @@
         break;
       case "permitReleased":
         this.#getOwned(message.engineId)
-          ?.desk.releasePermit(message.permitId, now);
+          ?.admission.releasePermit(message.permitId, now);
         this.#pump(message.engineId, now);
         break;
       case "firstToken":
         this.#getOwned(message.engineId)
-          ?.desk.recordFirstToken(message.permitId, now);
+          ?.admission.recordFirstToken(message.permitId, now);
         this.#pump(message.engineId, now);
         break;
       case "permitUnusable":
@@ -203,12 +203,12 @@
     const now = performance.now();
     const deliveries: Promise<boolean>[] = [];
     for (const owner of this.#owners.values()) {
-      if (!owner.isHolding()) continue;
+      if (!owner.isOwner()) continue;
       const { handover, effects } = owner.handOver(now);
       this.#runEffects(effects);
       const engine = this.#options.view.getUpstream(owner.engineId);
       const successor = engine &&
-        this.#options.fleet.rankHolders(engine, true, now)[0];
+        this.#options.fleet.rankOwners(engine, true, now)[0];
       if (!handover || !successor) continue;
       deliveries.push(this.#options.deliver(successor.id, {
         kind: "handover",
@@ -223,7 +223,7 @@
   async #awaitPendingOrders(): Promise<void> {
     const endsAt = performance.now() + LAST_ORDER_TIMEOUT_MS;
     const hasPendingOrders = () =>
-      [...this.#owners.values()].filter((owner) => owner.endOrders())
+      [...this.#owners.values()].filter((owner) => owner.stopOrders())
         .length > 0;
     while (hasPendingOrders() && performance.now() < endsAt) {
       await waitMs(LAST_ORDER_POLL_INTERVAL_MS);
@@ -250,7 +250,7 @@
       const owner = this.#owners.get(engineId);
       if (!owner) continue;
       this.#runEffects(owner.tick(this.#describeSituation(owner, now), now));
-      this.#roles.recordHeld(owner, now);
+      this.#roles.recordOwned(owner, now);
       this.#scheduleTick(owner.getNextDueAt());
     }
     this.#scheduleTick(now + TICK_INTERVAL_MS);
@@ -273,12 +273,12 @@
     this.#activeEngines.clear();
     const fetchShare = this.#computeFetchShare(now);
     for (const owner of this.#owners.values()) {
-      const { isWanted, isCandidate } = this.#describeSituation(
+      const { isDesiredOwner: isWanted, isCandidate } = this.#describeSituation(
         owner,
         now,
         fetchShare,
       );
-      const isActive = isWanted || isCandidate || owner.isHolding();
+      const isActive = isWanted || isCandidate || owner.isOwner();
       if (isActive) this.#activeEngines.add(owner.engineId);
     }
   }
@@ -302,14 +302,14 @@
       } else {
         this.#owners.set(
           engine.id,
-          new EngineHolder({
+          new EngineOwner({
             selfId: this.#options.selfId,
             engineId: engine.id,
             limits,
             termMs,
             drawFence: () => fenceClock.drawFence(Date.now()),
-            listRivals: () =>
-              this.#options.fleet.listRivals(engine, performance.now()),
+            listClaimants: () =>
+              this.#options.fleet.listClaimants(engine, performance.now()),
             selectOwnAdapter: (model) =>
               this.#selectOwnAdapter(engine.id, model),
           }),
@@ -319,11 +319,11 @@
   }
 
   #describeSituation(
-    owner: EngineHolder,
+    owner: EngineOwner,
     now: Milliseconds,
     fetchShare = this.#computeFetchShare(now),
-  ): HolderSituation {
-    return this.#roles.describeSituation({
+  ): OwnershipContext {
+    return this.#roles.describeContext({
       engine: this.#options.view.getUpstream(owner.engineId),
       holder: owner,
       fetchShare,
@@ -378,7 +378,7 @@
       retryAfterMs: this.#owners.get(engineId)?.estimateClaimMs(now) ??
         this.#options.termMs,
     };
-    const knownOwner = this.#options.fleet.findHolder(engineId, now);
+    const knownOwner = this.#options.fleet.findOwner(engineId, now);
     if (knownOwner !== undefined) answer.knownHolder = knownOwner;
     this.#runEffects(
       [{ kind: "answerPermit", engineId, answer }],
@@ -413,34 +413,36 @@
     if (!owner) return;
     this.#activeEngines.add(engineId);
     this.#runEffects(owner.acceptHandover(handover, now));
-    this.#roles.recordHeld(owner, now);
+    this.#roles.recordOwned(owner, now);
   }
 
   #pump(engineId: string, now: Milliseconds): void {
     const owner = this.#getOwned(engineId);
     if (!owner) return;
     this.#fetchLimiter.recordLoads(owner, now);
-    this.#runEffects(owner.pump(this.#describeSituation(owner, now), now));
+    this.#runEffects(
+      owner.serveQueue(this.#describeSituation(owner, now), now),
+    );
     this.#scheduleTick(owner.getNextDueAt());
   }
 
   /** Returns who gives each engine's orders; what this daemon holds goes before others' word. */
   #listOwners(now: Milliseconds): ReadonlyMap<string, string> {
-    const owners = new Map(this.#options.fleet.listHolders(now));
+    const owners = new Map(this.#options.fleet.listOwners(now));
     for (const engineId of this.listOwnedEngines()) {
       owners.set(engineId, this.#options.selfId);
     }
     return owners;
   }
 
-  #getOwned(engineId: string): EngineHolder | undefined {
+  #getOwned(engineId: string): EngineOwner | undefined {
     const owner = this.#owners.get(engineId);
-    return owner?.isHolding() ? owner : undefined;
+    return owner?.isOwner() ? owner : undefined;
   }
 
   /** @param requestedPermitId permit that was asked for in this turn: where its answer is lost it is asked for again. */
   #runEffects(
-    effects: readonly HolderEffect[],
+    effects: readonly EngineOwnerEffect[],
     requestedPermitId?: string,
   ): void {
     for (const effect of effects) {
@@ -496,7 +498,7 @@
   }
 
   async #giveOrder(
-    effect: Extract<HolderEffect, { kind: "giveOrder" }>,
+    effect: Extract<EngineOwnerEffect, { kind: "giveOrder" }>,
   ): Promise<void> {
     const { view, control, selfId, log, metrics } = this.#options;
     const { engineId, order, fence, expectedSequence } = effect;
@@ -528,7 +530,7 @@
   }
 
   #sendAnswer(
-    { engineId, answer }: Extract<HolderEffect, { kind: "answerPermit" }>,
+    { engineId, answer }: Extract<EngineOwnerEffect, { kind: "answerPermit" }>,
     requestedPermitId: string | undefined,
   ): void {
     const message: GatewayMessage = { kind: "permitAnswer", engineId, answer };
--- a/src/gateway/fetch_pacer.ts
+++ b/src/gateway/fetch_pacer.ts
@@ -3,7 +3,7 @@
  * lets their number follow how long they take, here and at the other daemons.
  */
 import type { FleetView } from "../core/fleet/fleet_view.ts";
-import type { EngineHolder } from "../core/ordering/engine_holder.ts";
+import type { EngineOwner } from "../core/ordering/engine_holder.ts";
 import {
   FetchConcurrencyLimit,
   type FetchShare,
@@ -51,7 +51,7 @@
     now: Milliseconds,
   ): FetchShare {
     const { fleet } = this.#options;
-    const aliveDaemons = fleet.countLiving(now);
+    const aliveDaemons = fleet.countAlive(now);
     const owners = Math.max(1, Math.min(aliveDaemons, this.#engineCount));
     return this.#window.computeShare({
       ownFetches: own.fetches,
@@ -63,8 +63,8 @@
   }
 
   /** Learns from the loads that a holder has seen done, or late. */
-  recordLoads(owner: EngineHolder, now: Milliseconds): void {
-    for (const observation of owner.desk.slots.takeObservations()) {
+  recordLoads(owner: EngineOwner, now: Milliseconds): void {
+    for (const observation of owner.admission.slots.takeObservations()) {
       this.#window.recordFetch(observation, now);
     }
     const fullSpeed = Math.round(this.#window.limit);
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -272,7 +272,7 @@
     if (sinceLastMs > PAUSE_THRESHOLD_MS) {
       this.#log.warn("pauseDetected", { sinceLastMs: Math.round(sinceLastMs) });
       this.#metrics.count("pauses", "process");
-      this.#fleet.expireAll();
+      this.#fleet.markAllUnreachable();
     }
     const targets = this.#fleet.selectTargets(now);
     const seeds = this.#settings.peers.seeds
@@ -338,7 +338,7 @@
   }
 
   #updateGauges(now: number): void {
-    this.#metrics.setGauge("living_daemons", this.#fleet.countLiving(now));
+    this.#metrics.setGauge("living_daemons", this.#fleet.countAlive(now));
     this.#metrics.setGauge("upstreams", this.#view.countUpstreams());
     this.#metrics.setGauge("requests_in_flight", this.#callers.inFlight);
     this.#metrics.setGauge(
@@ -385,7 +385,7 @@
     if (!member) return false;
     const isDelivered = await this.#peers.deliver(member.ip, message);
     if (!isDelivered && !this.#isStopping) {
-      this.#fleet.recordSilence(peerId, performance.now());
+      this.#fleet.markUnreachable(peerId, performance.now());
       this.#log.info("peerSilent", { peer: peerId, message: message.kind });
     }
     return isDelivered;
--- a/src/gateway/peer_messages.ts
+++ b/src/gateway/peer_messages.ts
@@ -5,7 +5,7 @@
   PermitRequest,
 } from "../core/admission/engine_desk.ts";
 import type { Heartbeat } from "../core/fleet/heartbeat.ts";
-import type { TenureHandover } from "../core/ordering/engine_holder.ts";
+import type { OwnershipHandover } from "../core/ordering/engine_holder.ts";
 import type { Milliseconds } from "../core/structures.ts";
 
 export type GatewayMessage =
@@ -28,4 +28,4 @@
   }
   /** Some of the runs, `total` in all, that the sender has at an engine whose holder has changed. */
   | { kind: "runsHeld"; engineId: string; runs: AdoptedRun[]; total: number }
-  | { kind: "handover"; engineId: string; handover: TenureHandover };
+  | { kind: "handover"; engineId: string; handover: OwnershipHandover };
--- a/src/gateway/permit_client.ts
+++ b/src/gateway/permit_client.ts
@@ -9,7 +9,7 @@
   type PermitRequest,
 } from "../core/admission/engine_desk.ts";
 import type { FleetView } from "../core/fleet/fleet_view.ts";
-import { ToldHolders } from "../core/fleet/told_holders.ts";
+import { OwnerHints } from "../core/fleet/told_holders.ts";
 import { RunEstimator } from "../core/admission/run_pace.ts";
 import { PermitReleaseRetryQueue } from "../core/admission/undelivered_returns.ts";
 import type { Milliseconds } from "../core/structures.ts";
@@ -67,7 +67,7 @@
   readonly #options: PermitClientOptions;
   readonly #pendingPermits = new Map<string, PendingPermit>();
   readonly #dispatchedRuns = new Map<string, DispatchedRun>();
-  readonly #ownerHints = new ToldHolders();
+  readonly #ownerHints = new OwnerHints();
   readonly #undeliveredReturns = new PermitReleaseRetryQueue<
     PermitReturnMessage
   >();
@@ -94,7 +94,7 @@
     this.#ownerHints.forget(engine.id);
     const { knownHolder } = answer;
     if (knownHolder === undefined || knownHolder === ownerId) {
-      this.#ownerHints.recordUnheld(engine.id, performance.now());
+      this.#ownerHints.recordUnowned(engine.id, performance.now());
       return reply;
     }
     this.#ownerHints.record(engine.id, knownHolder, performance.now());
@@ -103,7 +103,7 @@
 
   /** Returns whether nobody held the engine when it was last asked for, a moment ago. */
   isUnowned(engineId: string, now: Milliseconds): boolean {
-    return this.#ownerHints.isUnheld(engineId, now);
+    return this.#ownerHints.isUnowned(engineId, now);
   }
 
   /** Returns who holds the engine: by its own word, by that of one who was asked, or by rank. */
@@ -113,9 +113,9 @@
     const now = performance.now();
     if (isOwnedLocally(engine.id)) return selfId;
     const told = this.#ownerHints.find(engine.id, now);
-    if (told !== undefined && fleet.isLiving(told, now)) return told;
-    return fleet.findHolder(engine.id, now) ??
-      fleet.rankHolders(engine, isStopping(), now)[0]?.id;
+    if (told !== undefined && fleet.isAlive(told, now)) return told;
+    return fleet.findOwner(engine.id, now) ??
+      fleet.rankOwners(engine, isStopping(), now)[0]?.id;
   }
 
   async #sendPermitRequest(
@@ -213,7 +213,7 @@
   retryUndeliveredReturns(now: Milliseconds): void {
     if (now - this.#lastReturnRetryAt < RETURN_RETRY_INTERVAL_MS) return;
     this.#lastReturnRetryAt = now;
-    const isLiving = (id: string) => this.#options.fleet.isLiving(id, now);
+    const isLiving = (id: string) => this.#options.fleet.isAlive(id, now);
     for (const due of this.#undeliveredReturns.takeDue(isLiving, now)) {
       this.#returnPermit(due.message, due.ownerId, due.expiresAt);
     }
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/request_flow.ts
@@ -295,7 +295,7 @@
       remainingMs: this.#getRemainingMs(),
     }, () => {
       const now = performance.now();
-      const aliveDaemons = fleet.countLiving(now);
+      const aliveDaemons = fleet.countAlive(now);
       return retryBudget.trySpend(this.#service.name, aliveDaemons, now);
     });
   }
@@ -465,7 +465,7 @@
       return;
     }
     if (sign !== HealthSignal.Unreachable) return;
-    const isHeard = fleet.isDomainHeard(failureDomain, now);
+    const isHeard = fleet.hasAlivePeer(failureDomain, now);
     const wasCutOff = reachability.isUnreachable(failureDomain, isHeard, now);
     reachability.recordUnreachable(failureDomain, now);
     if (isHeard || wasCutOff) return;
--- a/src/gateway/usable_upstreams.ts
+++ b/src/gateway/usable_upstreams.ts
@@ -15,7 +15,7 @@
   const { backoff, reachability, fleet } = context;
   return reachability.selectReachable(
     backoff.listAvailable(upstreams, now),
-    (failureDomain) => fleet.isDomainHeard(failureDomain, now),
+    (failureDomain) => fleet.hasAlivePeer(failureDomain, now),
     now,
   );
 }
--- a/src/gateway/view_follower.ts
+++ b/src/gateway/view_follower.ts
@@ -151,11 +151,11 @@
   #needsStoreRead(state: SetState): boolean {
     if (state.mirror.asOf === 0 || state.hasFailed) return true;
     if (state.peerSelector.needsStore) return true;
-    return this.#options.fleet.isReader(true, performance.now());
+    return this.#options.fleet.isStoreReader(true, performance.now());
   }
 
   #hasPeerWithStore(): boolean {
-    return this.#options.fleet.listLiving(performance.now())
+    return this.#options.fleet.listAlive(performance.now())
       .some((heartbeat) => heartbeat.hasStore);
   }
 
@@ -285,7 +285,7 @@
   #comparePeers(set: PublishedSet, now: Milliseconds): void {
     const state = this.#getState(set);
     const ownDomain = this.#options.fleet.self.failureDomain;
-    const newerPeers = this.#options.fleet.listLiving(now)
+    const newerPeers = this.#options.fleet.listAlive(now)
       .filter((heartbeat) => heartbeat.revisions[set] > state.newestRevision)
       .map(({ sender, revisions }) => ({
         id: sender.id,
@@ -300,7 +300,7 @@
     }
     state.behindSince ??= now;
     const isWithinTolerance =
-      this.#options.fleet.isReader(!state.hasFailed, now) &&
+      this.#options.fleet.isStoreReader(!state.hasFailed, now) &&
       now - state.behindSince < LAG_TOLERANCE_MS;
     if (isWithinTolerance || state.isFetchingFromPeer) return;
     const peer = state.peerSelector.choosePeer(newerPeers, now);
--- a/test/core/fleet/fleet_view_test.ts
+++ b/test/core/fleet/fleet_view_test.ts
@@ -4,10 +4,10 @@
 import { FleetView } from "../../../src/core/fleet/fleet_view.ts";
 import type {
   FleetMember,
+  GossipEntry,
   Heartbeat,
-  NamedMember,
 } from "../../../src/core/fleet/heartbeat.ts";
-import { selectHolderGroup } from "../../../src/core/fleet/holder_group.ts";
+import { selectOwnerGroup } from "../../../src/core/fleet/holder_group.ts";
 import { buildHeartbeat } from "./heartbeat_builder.ts";
 
 function createMember(id: string, failureDomain = "a"): FleetMember {
@@ -19,32 +19,32 @@
 test("a silent member is taken for dead, and lives again when it is heard", () => {
   const fleet = new FleetView(createMember("1"));
   fleet.recordHeartbeat(buildHeartbeat(createMember("2")), 0);
-  assert.is(fleet.countLiving(1_500), 2);
-  assert.is(fleet.countLiving(1_700), 1);
+  assert.is(fleet.countAlive(1_500), 2);
+  assert.is(fleet.countAlive(1_700), 1);
   fleet.recordHeartbeat(buildHeartbeat(createMember("2")), 5_000);
-  assert.is(fleet.countLiving(5_100), 2);
+  assert.is(fleet.countAlive(5_100), 2);
 });
 
 test("a member that does not acknowledge is passed over until it is heard", () => {
   const fleet = new FleetView(createMember("1"));
   const heartbeat = buildHeartbeat(createMember("2"), { heldEngines: ["e"] });
   fleet.recordHeartbeat(heartbeat, 0);
-  assert.is(fleet.findHolder("e", 10), "2");
-  fleet.recordSilence("2", 10);
-  assert.is(fleet.findHolder("e", 20), undefined);
+  assert.is(fleet.findOwner("e", 10), "2");
+  fleet.markUnreachable("2", 10);
+  assert.is(fleet.findOwner("e", 20), undefined);
   fleet.recordHeartbeat(heartbeat, 400);
-  assert.is(fleet.findHolder("e", 410), "2");
+  assert.is(fleet.findOwner("e", 410), "2");
 });
 
 test("members that others name are sent to, but live only once heard", () => {
   const fleet = new FleetView(createMember("1"));
-  const named: NamedMember = ["3", "10.0.0.3", "a", 1];
+  const named: GossipEntry = ["3", "10.0.0.3", "a", 1];
   fleet.recordHeartbeat(
     buildHeartbeat(createMember("2"), { sample: [named] }),
     0,
   );
   assert.ok(fleet.selectTargets(10).some(({ member }) => member.id === "3"));
-  assert.is(fleet.countLiving(10), 2);
+  assert.is(fleet.countAlive(10), 2);
 });
 
 test("every daemon ranks the same holder, of the engine's failure domain first", () => {
@@ -55,7 +55,7 @@
     for (const other of members) {
       fleet.recordHeartbeat(buildHeartbeat(other), 0);
     }
-    return fleet.rankHolders(ENGINE, false, 1).map((member) => member.id);
+    return fleet.rankOwners(ENGINE, false, 1).map((member) => member.id);
   });
   for (const ranking of rankings) assert.equal(ranking, rankings[0]);
   assert.equal([...rankings[0] ?? []].sort(), ["1", "2", "3"]);
@@ -64,31 +64,31 @@
 test("where nobody of the engine's failure domain lives, others take it", () => {
   const fleet = new FleetView(createMember("9", "b"));
   fleet.recordHeartbeat(buildHeartbeat(createMember("8", "c")), 0);
-  const ranked = fleet.rankHolders(ENGINE, false, 1).map((each) => each.id);
+  const ranked = fleet.rankOwners(ENGINE, false, 1).map((each) => each.id);
   assert.equal(ranked.sort(), ["8", "9"]);
 });
 
 test("a daemon that hears half of those that it knows hears no majority", () => {
   const fleet = new FleetView(createMember("1"));
-  assert.ok(fleet.isHearingMajority("a", 0));
-  const sample: NamedMember[] = [
+  assert.ok(fleet.hasQuorum("a", 0));
+  const sample: GossipEntry[] = [
     ["3", "10.0.0.3", "a", 1],
     ["4", "10.0.0.4", "a", 1],
   ];
   fleet.recordHeartbeat(buildHeartbeat(createMember("2"), { sample }), 0);
-  assert.not(fleet.isHearingMajority("a", 1));
+  assert.not(fleet.hasQuorum("a", 1));
   fleet.recordHeartbeat(buildHeartbeat(createMember("3")), 1);
-  assert.ok(fleet.isHearingMajority("a", 2));
+  assert.ok(fleet.hasQuorum("a", 2));
 });
 
 test("a leaving daemon is no candidate and no holder", () => {
   const fleet = new FleetView(createMember("1"));
   const leaving = { isLeaving: true, heldEngines: ["e"] };
   fleet.recordHeartbeat(buildHeartbeat(createMember("2"), leaving), 0);
-  assert.equal(fleet.rankHolders(ENGINE, false, 1).map((each) => each.id), [
+  assert.equal(fleet.rankOwners(ENGINE, false, 1).map((each) => each.id), [
     "1",
   ]);
-  assert.is(fleet.findHolder("e", 1), undefined);
+  assert.is(fleet.findOwner("e", 1), undefined);
 });
 
 test("one daemon of a failure domain reads the store; another does when it can't", () => {
@@ -100,7 +100,7 @@
         const hasStore = other.id !== broken;
         fleet.recordHeartbeat(buildHeartbeat(other, { hasStore }), 0);
       }
-      return fleet.isReader(self.id !== broken, 1);
+      return fleet.isStoreReader(self.id !== broken, 1);
     }).map((member) => member.id);
   const [reader, ...others] = readers(undefined);
   assert.equal(others, []);
@@ -120,11 +120,11 @@
     (_, index) => createMember(`m${index}`),
   );
   const self = createMember("self");
-  const group = selectHolderGroup("a", [self, ...members]);
+  const group = selectOwnerGroup("a", [self, ...members]);
   const mates = group.filter((member) => member.id !== "self");
   const others = members.filter((member) => !mates.includes(member));
   const fleet = new FleetView(self);
-  const named = (member: FleetMember): NamedMember => [
+  const named = (member: FleetMember): GossipEntry => [
     member.id,
     member.ip,
     member.failureDomain,
@@ -141,21 +141,21 @@
 
 test("in a large fleet the majority is that of the holders' group, by their own heartbeats", () => {
   const { fleet, mates, others } = createLargeDomain();
-  assert.not(fleet.isHearingMajority("a", 1), "others' word does not count");
+  assert.not(fleet.hasQuorum("a", 1), "others' word does not count");
   for (const member of others) {
     fleet.recordHeartbeat(buildHeartbeat(member, { beat: 2 }), 1);
   }
-  assert.not(fleet.isHearingMajority("a", 2), "others do not count");
+  assert.not(fleet.hasQuorum("a", 2), "others do not count");
   for (const member of mates.slice(0, 3)) {
     fleet.recordHeartbeat(buildHeartbeat(member, { beat: 2 }), 2);
   }
-  assert.not(fleet.isHearingMajority("a", 3), "half of the group is too few");
+  assert.not(fleet.hasQuorum("a", 3), "half of the group is too few");
   for (const member of mates.slice(3, 6)) {
     fleet.recordHeartbeat(buildHeartbeat(member, { beat: 2 }), 4);
   }
-  assert.ok(fleet.isHearingMajority("a", 5));
-  assert.not(fleet.isHearingMajority("a", 1_700), "they are silent since");
-  assert.not(fleet.isHearingMajority("b", 5), "another failure domain's");
+  assert.ok(fleet.hasQuorum("a", 5));
+  assert.not(fleet.hasQuorum("a", 1_700), "they are silent since");
+  assert.not(fleet.hasQuorum("b", 5), "another failure domain's");
 });
 
 test("in a large fleet an engine is taken for unheld on the fresh word of the whole group of holders", () => {
@@ -167,7 +167,7 @@
       now,
     );
   const isUnheld = (now: number, ips = seedIps) =>
-    fleet.isUnheld(ENGINE, { since: 1_000, seedIps: ips }, now);
+    fleet.isUnowned(ENGINE, { since: 1_000, seedIps: ips }, now);
   for (const mate of mates.slice(1)) beat(mate, { newcomerHeld: [] }, 1_400);
   assert.not(isUnheld(1_410), "one of the group was not heard");
   const [last] = mates;
@@ -195,9 +195,9 @@
   }
   const group = new Set(["self", ...mates.map((each) => each.id)]);
   const rank = (now: number) =>
-    fleet.rankHolders(ENGINE, false, now).map((each) => each.id);
+    fleet.rankOwners(ENGINE, false, now).map((each) => each.id);
   for (const id of rank(2)) assert.ok(group.has(id), id);
-  for (const id of fleet.listRivals(ENGINE, 2)) assert.ok(group.has(id), id);
+  for (const id of fleet.listClaimants(ENGINE, 2)) assert.ok(group.has(id), id);
   const [first] = rank(2);
   for (const member of [...mates, ...others]) {
     if (member.id === first) continue;
@@ -208,7 +208,7 @@
   }
   assert.not(rank(1_610).includes(first ?? ""));
   for (const id of rank(1_610)) assert.ok(group.has(id), id);
-  assert.is(fleet.listRivals(ENGINE, 1_610)[0], first);
+  assert.is(fleet.listClaimants(ENGINE, 1_610)[0], first);
 });
 
 test("a member that promised heartbeats is taken for dead after four, unless others name a newer one", () => {
@@ -221,11 +221,11 @@
       now,
     );
   beat(2, 0);
-  assert.ok(fleet.isLiving(mate.id, 1_500));
-  assert.not(fleet.isLiving(mate.id, 1_700));
-  const sample: NamedMember[] = [[mate.id, mate.ip, "a", 5]];
+  assert.ok(fleet.isAlive(mate.id, 1_500));
+  assert.not(fleet.isAlive(mate.id, 1_700));
+  const sample: GossipEntry[] = [[mate.id, mate.ip, "a", 5]];
   fleet.recordHeartbeat(buildHeartbeat(other, { beat: 2, sample }), 1_800);
-  assert.ok(fleet.isLiving(mate.id, 4_000), "it sends to others");
+  assert.ok(fleet.isAlive(mate.id, 4_000), "it sends to others");
 });
 
 test("a large fleet is sent to in parts, its own failure domain first", () => {
@@ -256,7 +256,7 @@
     view.recordHeartbeat(buildHeartbeat(createMember(id), part), now);
   const seedIps = ["10.0.0.1", "10.0.0.2"];
   const isUnheld = (now: number) =>
-    view.isUnheld(ENGINE, { since: 1_000, seedIps }, now);
+    view.isUnowned(ENGINE, { since: 1_000, seedIps }, now);
   beat("2", { newcomerHeld: [] }, 1_350);
   assert.not(isUnheld(1_400), "one peer is too few");
   beat("3", { newcomerHeld: [] }, 1_250);
@@ -265,7 +265,7 @@
   assert.ok(isUnheld(1_400));
   assert.not(isUnheld(3_400), "silent since");
   const cut = { since: 1_000, seedIps: [...seedIps, "10.0.0.9"] };
-  assert.not(view.isUnheld(ENGINE, cut, 1_400), "a seed was not heard");
+  assert.not(view.isUnowned(ENGINE, cut, 1_400), "a seed was not heard");
   beat("2", { newcomerHeld: ["e"] }, 3_400);
   beat("3", { newcomerHeld: [] }, 3_400);
   assert.not(isUnheld(3_400), "held before");
--- a/test/core/fleet/large_fleet_test.ts
+++ b/test/core/fleet/large_fleet_test.ts
@@ -12,7 +12,7 @@
   Heartbeat,
 } from "../../../src/core/fleet/heartbeat.ts";
 import { rankByRendezvous } from "../../../src/core/hashing.ts";
-import { selectHolderGroup } from "../../../src/core/fleet/holder_group.ts";
+import { selectOwnerGroup } from "../../../src/core/fleet/holder_group.ts";
 import { buildHeartbeat } from "./heartbeat_builder.ts";
 
 /**
@@ -85,7 +85,7 @@
       .filter(({ id, failureDomain }) => {
         const isNear = failureDomain === self.failureDomain;
         const isWanted = isNear || fleet.getMember(id) !== undefined;
-        return isWanted && !fleet.isLiving(id, this.now);
+        return isWanted && !fleet.isAlive(id, this.now);
       }).map((member) => member.id);
   }
 
@@ -158,7 +158,7 @@
     let noticedMs = 0;
     const diedAt = fleet.now;
     fleet.playUntil(diedAt + 30_000, ({ self, fleet: view }) => {
-      if (!view.isLiving(victim.self.id, fleet.now)) return;
+      if (!view.isAlive(victim.self.id, fleet.now)) return;
       const isNear = self.failureDomain === victim.self.failureDomain;
       if (isNear) noticedMs = fleet.now - diedAt;
     });
@@ -186,9 +186,9 @@
         const { failureDomain } = self;
         const described = { id: `engine-${engine}`, failureDomain };
         const near = ids.filter((each) => each.failureDomain === failureDomain);
-        const group = selectHolderGroup(failureDomain, near);
+        const group = selectOwnerGroup(failureDomain, near);
         const [wanted] = rankByRendezvous(described.id, group);
-        const [ranked] = view.rankHolders(described, false, fleet.now);
+        const [ranked] = view.rankOwners(described, false, fleet.now);
         asked += 1;
         if (ranked?.id === wanted?.id) agreeing += 1;
       }
@@ -199,9 +199,9 @@
       const near = ids.filter((each) =>
         each.failureDomain === self.failureDomain
       );
-      const group = selectHolderGroup(self.failureDomain, near);
+      const group = selectOwnerGroup(self.failureDomain, near);
       if (!group.includes(self)) return;
-      if (!view.isHearingMajority(self.failureDomain, fleet.now)) deaf += 1;
+      if (!view.hasQuorum(self.failureDomain, fleet.now)) deaf += 1;
     });
     assert.is(deaf, 0);
   });
@@ -215,7 +215,7 @@
     const near = fleet.daemons.filter(({ self }) =>
       self.failureDomain === failureDomain
     );
-    const group = selectHolderGroup(
+    const group = selectOwnerGroup(
       failureDomain,
       near.map(({ self }) => self),
     );
@@ -225,7 +225,7 @@
     victim.isDead = true;
     fleet.playUntil(WARM_MS + GROUP_NOTICED_MS);
     for (const { self, fleet: view } of others) {
-      assert.not(view.isLiving(victim.self.id, fleet.now), self.id);
+      assert.not(view.isAlive(victim.self.id, fleet.now), self.id);
     }
   });
 }
--- a/test/core/ordering/order_tenure_test.ts
+++ b/test/core/ordering/order_tenure_test.ts
@@ -2,8 +2,8 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
+  EngineOwnership,
   OrderEvidence,
-  OrderTenure,
   REPORT_LAG_MS,
 } from "../../../src/core/ordering/order_tenure.ts";
 
@@ -12,17 +12,17 @@
 /** A time after all that a test plays. */
 const LATE = 60_000;
 
-const MAJORITY = { hearsMajority: true, isUnheld: false };
-const MINORITY = { hearsMajority: false, isUnheld: false };
-const UNHELD = { hearsMajority: true, isUnheld: true };
+const MAJORITY = { hasQuorum: true, isUnowned: false };
+const MINORITY = { hasQuorum: false, isUnowned: false };
+const UNHELD = { hasQuorum: true, isUnowned: true };
 
-function createTenure(): OrderTenure {
-  return new OrderTenure({ termMs: TERM_MS });
+function createTenure(): EngineOwnership {
+  return new EngineOwnership({ termMs: TERM_MS });
 }
 
 /** Reads a report of an engine that has run for a while. */
 function readReport(
-  tenure: OrderTenure,
+  tenure: EngineOwnership,
   sequence: number,
   readAt: number,
 ): void {
@@ -32,7 +32,7 @@
   );
 }
 
-function createHolding(sequence = 5): OrderTenure {
+function createHolding(sequence = 5): EngineOwnership {
   const tenure = createTenure();
   readReport(tenure, sequence, 0);
   readReport(tenure, sequence, TERM_MS + 300);
@@ -42,7 +42,7 @@
 
 /** Has the engine accept an order. */
 function accept(
-  tenure: OrderTenure,
+  tenure: EngineOwnership,
   sentAt: number,
   evidence: OrderEvidence = OrderEvidence.Load,
 ): void {
@@ -177,7 +177,7 @@
 });
 
 test("evictions that the engine confirmed without counting them depose nobody within a term of a counted order", () => {
-  const play = (readAt: number): OrderTenure => {
+  const play = (readAt: number): EngineOwnership => {
     const tenure = createHolding(5);
     accept(tenure, 4_000);
     accept(tenure, 4_300, OrderEvidence.Eviction);
@@ -294,11 +294,11 @@
   const tenure = createHolding(0);
   tenure.recordOrderAnswer(
     { kind: "accepted" },
-    OrderEvidence.Blind,
+    OrderEvidence.Inconclusive,
     4_000,
     4_010,
   );
-  assert.ok(tenure.isHolding());
+  assert.ok(tenure.isOwner());
   assert.not(tenure.isExclusive(4_020), "it shows nothing of others");
   const lastRivalAt = 4_010 + 400 + REPORT_LAG_MS;
   assert.is(tenure.getExpectedSequence(lastRivalAt + TERM_MS), undefined);
@@ -315,13 +315,18 @@
   const tenure = createHolding();
   accept(tenure, 4_000);
   tenure.recordReport(restart, 7_000);
-  assert.ok(tenure.isYoung(7_100));
-  assert.not(tenure.isYoung(6_500 + TERM_MS - REPORT_LAG_MS - 400));
+  assert.ok(tenure.isSoleOwnerSinceRestart(7_100));
+  assert.not(
+    tenure.isSoleOwnerSinceRestart(6_500 + TERM_MS - REPORT_LAG_MS - 400),
+  );
   tenure.recordPause();
-  assert.not(tenure.isYoung(7_100), "the pause may have been long");
+  assert.not(
+    tenure.isSoleOwnerSinceRestart(7_100),
+    "the pause may have been long",
+  );
   const idle = createHolding();
   idle.recordReport(restart, 7_000);
-  assert.not(idle.isYoung(7_100), "another may hold it unseen");
+  assert.not(idle.isSoleOwnerSinceRestart(7_100), "another may hold it unseen");
 });
 
 test("while an engine's holder since its start may order alone, nobody else takes a turn", () => {
@@ -330,10 +335,10 @@
   other.recordReport(report, 100);
   assert.ok(other.claim(MAJORITY, 150));
   const youthMs = TERM_MS - REPORT_LAG_MS - 400;
-  assert.ok(other.canBeHeldSinceStart(150));
-  assert.ok(other.canBeHeldSinceStart(youthMs - 1));
-  assert.not(other.canBeHeldSinceStart(youthMs));
-  assert.not(createHolding().canBeHeldSinceStart(TERM_MS + 400));
+  assert.ok(other.canBeOwnedSinceStart(150));
+  assert.ok(other.canBeOwnedSinceStart(youthMs - 1));
+  assert.not(other.canBeOwnedSinceStart(youthMs));
+  assert.not(createHolding().canBeOwnedSinceStart(TERM_MS + 400));
 });
 
 test.run();
--- a/test/core/ordering/proving_order_test.ts
+++ b/test/core/ordering/proving_order_test.ts
@@ -2,30 +2,30 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  type ProvingSituation,
+  type ProvingOrderInput,
   selectProvingOrder,
 } from "../../../src/core/ordering/proving_order.ts";
 
 const RIVALS = ["host-1", "host-2", "host-3"];
 
-function select(part: Partial<ProvingSituation>) {
+function select(part: Partial<ProvingOrderInput>) {
   return selectProvingOrder({
     selfId: "host-1",
-    rivals: RIVALS,
-    mayTakeAny: false,
+    claimants: RIVALS,
+    mayEvictAny: false,
     model: "m",
     ownAdapter: "own",
     idlePaths: [],
-    hasRoom: false,
-    isHeld: () => false,
+    hasFreeSlot: false,
+    hasAdapter: () => false,
     ...part,
   });
 }
 
 test("with a free slot the own adapter is loaded, unless it is there already", () => {
-  assert.is(select({ hasRoom: true })?.adapterPath, "m/own");
-  assert.is(select({ hasRoom: true })?.kind, "load");
-  assert.is(select({ hasRoom: true, isHeld: () => true }), undefined);
+  assert.is(select({ hasFreeSlot: true })?.adapterPath, "m/own");
+  assert.is(select({ hasFreeSlot: true })?.kind, "load");
+  assert.is(select({ hasFreeSlot: true, hasAdapter: () => true }), undefined);
 });
 
 test("rivals that see the same idle adapters never evict the same one", () => {
@@ -43,7 +43,7 @@
   const owners = RIVALS.filter((selfId) => select({ selfId, idlePaths }));
   assert.is(owners.length, 1);
   const other = RIVALS.find((selfId) => !owners.includes(selfId));
-  const late = select({ selfId: other ?? "", idlePaths, mayTakeAny: true });
+  const late = select({ selfId: other ?? "", idlePaths, mayEvictAny: true });
   assert.equal(late, {
     kind: "evict",
     model: "m",
--- a/test/core/ordering/run_adoption_test.ts
+++ b/test/core/ordering/run_adoption_test.ts
@@ -6,12 +6,12 @@
 test("it is complete once every daemon has told of all its runs, in any order", () => {
   const adoption = new RunAdoption();
   adoption.begin(["a", "b"]);
-  adoption.recordTold("a", 0, 0);
+  adoption.recordReported("a", 0, 0);
   assert.not(adoption.isComplete());
-  adoption.recordTold("b", 2, 8);
-  adoption.recordTold("stranger", 0, 0);
+  adoption.recordReported("b", 2, 8);
+  adoption.recordReported("stranger", 0, 0);
   assert.not(adoption.isComplete());
-  adoption.recordTold("b", 6, 8);
+  adoption.recordReported("b", 6, 8);
   assert.ok(adoption.isComplete());
 });
 
@@ -19,14 +19,14 @@
   const adoption = new RunAdoption();
   assert.not(adoption.isComplete());
   adoption.begin(undefined);
-  adoption.recordTold("a", 0, 0);
+  adoption.recordReported("a", 0, 0);
   assert.not(adoption.isComplete());
 });
 
 test("a new holder starts anew", () => {
   const adoption = new RunAdoption();
   adoption.begin(["a"]);
-  adoption.recordTold("a", 0, 0);
+  adoption.recordReported("a", 0, 0);
   adoption.begin(["a"]);
   assert.not(adoption.isComplete());
 });
--- a/test/fuzz/tenure_fuzz_test.ts
+++ b/test/fuzz/tenure_fuzz_test.ts
@@ -15,15 +15,18 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import {
-  EngineHolder,
-  type HeldReport,
-  type HolderEffect,
+  type ContentsReport,
+  EngineOwner,
+  type EngineOwnerEffect,
 } from "../../src/core/ordering/engine_holder.ts";
-import { FleetView, NEWCOMER_MS } from "../../src/core/fleet/fleet_view.ts";
+import {
+  FleetView,
+  RECENTLY_STARTED_MS,
+} from "../../src/core/fleet/fleet_view.ts";
 import type { FleetMember } from "../../src/core/fleet/heartbeat.ts";
 import { FenceClock } from "../../src/core/ordering/fence_clock.ts";
 import { buildHeartbeat } from "../core/fleet/heartbeat_builder.ts";
-import { TurnOracle } from "./turn_oracle.ts";
+import { OrderOracle } from "./turn_oracle.ts";
 import type { OrderAnswer } from "../../src/core/ordering/tenure_state.ts";
 
 const TERM_MS = 3_000;
@@ -50,7 +53,7 @@
 const RIVALS = MEMBERS.map(({ id }) => id);
 const SEED_IPS = MEMBERS.map(({ ip }) => ip);
 
-type GiveOrder = Extract<HolderEffect, { kind: "giveOrder" }>;
+type GiveOrder = Extract<EngineOwnerEffect, { kind: "giveOrder" }>;
 
 /** An engine that ignores fencing but compares the expected count. */
 class ModelEngine {
@@ -58,17 +61,18 @@
   bornAtUnixMs = 1;
   /** Adapters that it holds or loads, with the time at which each is there. */
   readonly adapters = new Map<string, number>();
-  readonly oracle: TurnOracle;
+  readonly oracle: OrderOracle;
   /** Whether it starts without its base model. */
   readonly #startsEmpty: boolean;
   /** When the base model is there; undefined while nobody has ordered it. */
   #modelReadyAt: number | undefined;
   /** It answers nothing while it is down: a restart takes this long at the least. */
   #downUntil = 0;
-  #history: { at: number; report: Omit<HeldReport, "readAt" | "ageMs"> }[] = [];
+  #history: { at: number; report: Omit<ContentsReport, "readAt" | "ageMs"> }[] =
+    [];
   #startedAt = 0;
 
-  constructor(oracle: TurnOracle, startsEmpty: boolean) {
+  constructor(oracle: OrderOracle, startsEmpty: boolean) {
     this.oracle = oracle;
     this.#startsEmpty = startsEmpty;
     this.#modelReadyAt = startsEmpty ? undefined : 0;
@@ -86,16 +90,16 @@
     const isGone = kind === "evict" &&
       (this.adapters.get(adapterPath) ?? Number.POSITIVE_INFINITY) > at;
     if (isComing || isGone) {
-      this.oracle.judge({ daemon, fence: order.fence, at });
+      this.oracle.check({ daemon, fence: order.fence, at });
       return { kind: "accepted" };
     }
     if (order.expectedSequence !== this.sequence) return { kind: "conflict" };
     this.sequence += 1;
-    this.oracle.judge({ daemon, fence: order.fence, at });
+    this.oracle.check({ daemon, fence: order.fence, at });
     if (kind === "evict") this.adapters.delete(adapterPath);
     else if (adapter !== "") this.adapters.set(adapterPath, at + LOAD_MS);
     if (this.adapters.size > SLOTS) {
-      this.oracle.breaches.push(`${this.adapters.size} adapters at ${at}`);
+      this.oracle.violations.push(`${this.adapters.size} adapters at ${at}`);
     }
     return { kind: "accepted" };
   }
@@ -107,7 +111,7 @@
       this.sequence += 1;
       this.#modelReadyAt = at + MODEL_LOAD_MS;
     }
-    this.oracle.judge({ daemon, fence: order.fence, at });
+    this.oracle.check({ daemon, fence: order.fence, at });
     return this.#hasModel(at) ? { kind: "alreadyHeld" } : { kind: "accepted" };
   }
 
@@ -147,7 +151,7 @@
   }
 
   /** Returns the state as of some time ago. */
-  report(readAt: number, lagMs: number): HeldReport {
+  report(readAt: number, lagMs: number): ContentsReport {
     const seen = this.#history.filter((each) => each.at <= readAt - lagMs)
       .at(-1) ?? this.#history[0];
     const report = seen?.report ??
@@ -190,10 +194,10 @@
   const fleetGenerator = xoroshiro128plus(seed + 1);
   const drawFleet = (from: number, to: number) =>
     uniformInt(fleetGenerator, from, to);
-  const oracle = new TurnOracle(TERM_MS);
+  const oracle = new OrderOracle(TERM_MS);
   const engine = new ModelEngine(oracle, isLarge);
   let deliveries: Delivery[] = [];
-  const holders: EngineHolder[] = [];
+  const holders: EngineOwner[] = [];
   const lives: number[] = [];
   const downUntil: number[] = [];
   const cutUntil: number[] = [];
@@ -208,9 +212,9 @@
     views[index] = new FleetView(createMember(index));
     const fences = new FenceClock(`daemon ${index}`);
     lives[index] = (lives[index] ?? 0) + 1;
-    holders[index] = new EngineHolder({
+    holders[index] = new EngineOwner({
       selfId: `daemon ${index}`,
-      listRivals: () => RIVALS,
+      listClaimants: () => RIVALS,
       engineId: ENGINE_ID,
       limits: {
         adapterSlots: SLOTS,
@@ -236,7 +240,7 @@
     wanted[index] = true;
     cutUntil[index] = 0;
   }
-  const carryOut = (index: number, effects: HolderEffect[]): void => {
+  const carryOut = (index: number, effects: EngineOwnerEffect[]): void => {
     const life = lives[index];
     const isSame = () => lives[index] === life;
     for (const effect of effects) {
@@ -287,7 +291,7 @@
     }
   };
   const isNewcomer = (index: number): boolean =>
-    now - (startedAt[index] ?? 0) < NEWCOMER_MS;
+    now - (startedAt[index] ?? 0) < RECENTLY_STARTED_MS;
   const listHeldBefore = (index: number): string[] =>
     hasHeld[index] ? [ENGINE_ID] : [];
   /** Tells the others, late or not at all where links are cut. */
@@ -310,7 +314,7 @@
     const since = holders[index]?.observedAt;
     const mayAsk = since !== undefined && isNewcomer(index) && !hasHeld[index];
     return mayAsk &&
-      views[index]?.isUnheld(ENGINE, { since, seedIps: SEED_IPS }, now) ===
+      views[index]?.isUnowned(ENGINE, { since, seedIps: SEED_IPS }, now) ===
         true;
   };
   let permits = 0;
@@ -354,15 +358,15 @@
           isLastChoice: true,
         };
         // As the gateway does, only a holder is asked.
-        if (holder.isHolding()) {
+        if (holder.isOwner()) {
           carryOut(index, holder.requestPermit(request, now));
         }
       }
       const situation = {
-        isWanted: wanted[index] ?? false,
+        isDesiredOwner: wanted[index] ?? false,
         isCandidate: true,
-        hearsMajority: !isLarge,
-        isUnheld: !isLarge && isUnheld(index),
+        hasQuorum: !isLarge,
+        isUnowned: !isLarge && isUnheld(index),
         peers: undefined,
         fetchShare: {
           fleetFetches: 0,
@@ -374,10 +378,10 @@
         },
       };
       carryOut(index, holder.tick(situation, now));
-      if (holder.isHolding()) hasHeld[index] = true;
+      if (holder.isOwner()) hasHeld[index] = true;
     }
   }
-  return oracle.breaches;
+  return oracle.violations;
 }
 
 for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
@@ -393,14 +397,14 @@
 }
 
 test("the oracle sees turns, fences that fall and slots that are exceeded", () => {
-  const oracle = new TurnOracle(TERM_MS);
-  oracle.judge({ daemon: 0, fence: 5, at: 0 });
-  oracle.judge({ daemon: 1, fence: 6, at: 300 });
-  assert.equal(oracle.breaches, []);
-  oracle.judge({ daemon: 0, fence: 7, at: 900 });
-  assert.is(oracle.breaches.length, 1);
-  oracle.judge({ daemon: 1, fence: 7, at: 9_000 });
-  assert.is(oracle.breaches.length, 2);
+  const oracle = new OrderOracle(TERM_MS);
+  oracle.check({ daemon: 0, fence: 5, at: 0 });
+  oracle.check({ daemon: 1, fence: 6, at: 300 });
+  assert.equal(oracle.violations, []);
+  oracle.check({ daemon: 0, fence: 7, at: 900 });
+  assert.is(oracle.violations.length, 1);
+  oracle.check({ daemon: 1, fence: 7, at: 9_000 });
+  assert.is(oracle.violations.length, 2);
 });
 
 test.run();
--- a/test/fuzz/turn_oracle.ts
+++ b/test/fuzz/turn_oracle.ts
@@ -7,8 +7,8 @@
   at: number;
 }
 
-export class TurnOracle {
-  readonly breaches: string[] = [];
+export class OrderOracle {
+  readonly violations: string[] = [];
   #orders: AcceptedOrder[] = [];
   #highestFence: { daemon: number | string; fence: number } = {
     daemon: "",
@@ -20,15 +20,15 @@
     this.#termMs = termMs;
   }
 
-  judge(order: AcceptedOrder): void {
+  check(order: AcceptedOrder): void {
     const last = this.#orders.at(-1);
     if (last && last.daemon !== order.daemon) {
       const hasTurned = this.#orders.some((earlier) =>
         earlier.daemon === order.daemon && order.at - earlier.at < this.#termMs
       );
-      if (hasTurned) this.breaches.push(`turns at ${order.at}`);
+      if (hasTurned) this.violations.push(`turns at ${order.at}`);
       if (order.fence <= this.#highestFence.fence) {
-        this.breaches.push(`fence ${order.fence} not above at ${order.at}`);
+        this.violations.push(`fence ${order.fence} not above at ${order.at}`);
       }
     }
     if (order.fence > this.#highestFence.fence) this.#highestFence = order;
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -11,7 +11,7 @@
   type ReplicaBehaviour,
   STREAM_EVENTS,
 } from "../../fakes/fake_platform_replica.ts";
-import { TurnOracle } from "../fuzz/turn_oracle.ts";
+import { OrderOracle } from "../fuzz/turn_oracle.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
 import { ProxyFault } from "./fault_proxy.ts";
 import { SOAK_TERM_MS, SoakFleet } from "./soak_fleet.ts";
@@ -238,14 +238,14 @@
 
 function checkOrders(fleet: SoakFleet, report: SoakReport): void {
   for (const engine of fleet.engines) {
-    const oracle = new TurnOracle(SOAK_TERM_MS);
+    const oracle = new OrderOracle(SOAK_TERM_MS);
     for (const order of engine.orders) {
       if (order.status >= 300) continue;
       const { holder, fence, at } = order;
-      oracle.judge({ daemon: holder, fence, at });
+      oracle.check({ daemon: holder, fence, at });
     }
     report.breaches.push(
-      ...oracle.breaches.map((breach) => `${engine.id}: ${breach}`),
+      ...oracle.violations.map((breach) => `${engine.id}: ${breach}`),
     );
     if (engine.adapters.size > SLOTS) {
       report.breaches.push(`${engine.id}: ${engine.adapters.size} adapters`);
