--- a/bench/places/places_simulation.ts
+++ b/bench/places/places_simulation.ts
@@ -6,7 +6,7 @@
 import {
   type AdapterSlot,
   AdapterSlots,
-} from "../../src/core/placement/adapter_places.ts";
+} from "../../src/core/placement/adapter_slots.ts";
 import { findRendezvousWinner } from "../../src/core/hashing.ts";
 import type { Milliseconds } from "../../src/core/structures.ts";
 import { EventHeap } from "../policy/event_heap.ts";
--- a/src/core/admission/engine_desk.ts
+++ b/src/core/admission/admission_controller.ts
@@ -4,12 +4,12 @@
  * once what can't be served in time. Load pattern: more distinct adapters than
  * slots and more prompts than the engine reads in time, from many daemons.
  */
-import type { AdapterSlot, AdapterSlots } from "../placement/adapter_places.ts";
-import { MAX_LOAD_LATENESS_MS } from "../placement/adapter_places.ts";
-import { MAX_LOADING } from "../placement/fetch_window.ts";
+import type { AdapterSlot, AdapterSlots } from "../placement/adapter_slots.ts";
+import { MAX_LOAD_LATENESS_MS } from "../placement/adapter_slots.ts";
+import { MAX_LOADING } from "../placement/fetch_concurrency_limit.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { BatchCapacity, BatchDemand } from "./batch_room.ts";
-import { RunEstimator } from "./run_pace.ts";
+import type { BatchCapacity, BatchDemand } from "./batch_capacity.ts";
+import { RunEstimator } from "./run_estimator.ts";
 
 /** A request for a place in an engine's batch. */
 export interface PermitRequest extends BatchDemand {
--- a/src/core/admission/place_patience.ts
+++ b/src/core/admission/permit_wait.ts
@@ -22,17 +22,17 @@
 export function computeMaxPermitWaitMs(
   request: {
     latencyObjectiveMs: Milliseconds;
-    pauseObjectiveMs: Milliseconds;
+    interTokenObjectiveMs: Milliseconds;
     elapsedMs: Milliseconds;
     remainingMs: Milliseconds;
   },
 ): Milliseconds {
-  const { latencyObjectiveMs, pauseObjectiveMs, elapsedMs, remainingMs } =
+  const { latencyObjectiveMs, interTokenObjectiveMs, elapsedMs, remainingMs } =
     request;
   const abandonAfterMs = Math.max(
     MIN_ABANDON_MS,
     ABANDON_LATENCY_OBJECTIVES * latencyObjectiveMs,
-    ABANDON_INTER_TOKEN_OBJECTIVES * pauseObjectiveMs,
+    ABANDON_INTER_TOKEN_OBJECTIVES * interTokenObjectiveMs,
   );
   const servableMs = abandonAfterMs - GRANT_TO_FIRST_EVENT_MS - elapsedMs;
   const usefulWaitMs = Math.max(
--- a/src/core/fleet/fleet_view.ts
+++ b/src/core/fleet/fleet_view.ts
@@ -18,12 +18,12 @@
   HeartbeatFanout,
   type HeartbeatTarget,
   REMOTE_TARGETS,
-} from "./heartbeat_spread.ts";
+} from "./heartbeat_fanout.ts";
 import {
   hasMember,
   OWNER_GROUP_SIZE,
   selectOwnerGroup,
-} from "./holder_group.ts";
+} from "./owner_group.ts";
 
 /** Period of heartbeats in a small fleet; a death is noticed within a few of them. */
 const SMALL_INTERVAL_MS = 400;
--- a/src/core/fleet/heartbeat_spread.ts
+++ b/src/core/fleet/heartbeat_fanout.ts
@@ -5,7 +5,7 @@
  */
 import { rankByRendezvous } from "../hashing.ts";
 import type { FleetMember, GossipEntry } from "./heartbeat.ts";
-import { hasMember } from "./holder_group.ts";
+import { hasMember } from "./owner_group.ts";
 
 /** Other daemons of the own failure domain that get a heartbeat in a period, beyond that size. */
 const LOCAL_TARGETS = 5;
--- a/src/core/ordering/engine_holder.ts
+++ b/src/core/ordering/engine_owner.ts
@@ -3,7 +3,7 @@
  * should hold it, keeps its desk while it does, and gives it up to another.
  * Events go in with the present time, effects come out.
  */
-import { BatchCapacity } from "../admission/batch_room.ts";
+import { BatchCapacity } from "../admission/batch_capacity.ts";
 import {
   AdmissionController,
   type AdoptedRun,
@@ -11,9 +11,9 @@
   type EngineOrder,
   type PermitAnswer,
   type PermitRequest,
-} from "../admission/engine_desk.ts";
-import { AdapterSlots } from "../placement/adapter_places.ts";
-import type { FetchShare } from "../placement/fetch_window.ts";
+} from "../admission/admission_controller.ts";
+import { AdapterSlots } from "../placement/adapter_slots.ts";
+import type { FetchShare } from "../placement/fetch_concurrency_limit.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { EngineLimits } from "../view/published_view.ts";
 import {
@@ -21,18 +21,18 @@
   type OrderPlannerOptions,
   type PlannedOrder,
 } from "./order_planner.ts";
-import { EngineOwnership, OrderEvidence } from "./order_tenure.ts";
+import { EngineOwnership, OrderEvidence } from "./engine_ownership.ts";
 import { RunAdoption } from "./run_adoption.ts";
 import type {
   ClaimConditions,
   OrderAnswer,
   OrderReport,
-} from "./tenure_state.ts";
+} from "./ownership_state.ts";
 
 /** A report with what the engine holds. */
 export interface ContentsReport extends OrderReport {
   models: readonly string[];
-  adapters: ReadonlyMap<string, { version: number; isComing: boolean }>;
+  adapters: ReadonlyMap<string, { version: number; isLoading: boolean }>;
 }
 
 /** What a holder that stops tells the next one. */
@@ -42,7 +42,7 @@
   models: string[];
   sequence: number;
   bornAtUnixMs: number;
-  adapters: [adapterPath: string, version: number, isComing: boolean][];
+  adapters: [adapterPath: string, version: number, isLoading: boolean][];
 }
 
 export type EngineOwnerEffect =
@@ -358,9 +358,9 @@
     this.#recordContents({
       models: handover.models,
       adapters: new Map(
-        handover.adapters.map(([path, version, isComing]) => [
+        handover.adapters.map(([path, version, isLoading]) => [
           path,
-          { version, isComing },
+          { version, isLoading },
         ]),
       ),
     }, now);
--- a/src/core/ordering/order_tenure.ts
+++ b/src/core/ordering/engine_ownership.ts
@@ -24,7 +24,7 @@
   OwnedState,
   OwnershipState,
   Settlement,
-} from "./tenure_state.ts";
+} from "./ownership_state.ts";
 
 /** What it shows that an engine accepted an order. */
 export const OrderEvidence = {
--- a/src/core/ordering/order_planner.ts
+++ b/src/core/ordering/order_planner.ts
@@ -7,9 +7,12 @@
 import type {
   AdmissionController,
   EngineOrder,
-} from "../admission/engine_desk.ts";
+} from "../admission/admission_controller.ts";
 import type { Milliseconds } from "../structures.ts";
-import { CONTESTED_WINDOW_MS, type EngineOwnership } from "./order_tenure.ts";
+import {
+  CONTESTED_WINDOW_MS,
+  type EngineOwnership,
+} from "./engine_ownership.ts";
 import { selectProvingOrder } from "./proving_order.ts";
 
 /** Time for which a new holder evicts only what no rival would: a term, after which rivals have seen it order. */
--- a/src/core/ordering/holder_roles.ts
+++ b/src/core/ordering/owner_roles.ts
@@ -6,9 +6,9 @@
  */
 import type { FleetView } from "../fleet/fleet_view.ts";
 import { RECENTLY_STARTED_MS } from "../fleet/fleet_view.ts";
-import type { FetchShare } from "../placement/fetch_window.ts";
+import type { FetchShare } from "../placement/fetch_concurrency_limit.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { OwnershipContext } from "./engine_holder.ts";
+import type { OwnershipContext } from "./engine_owner.ts";
 
 /** Daemons, by rank, that observe an engine while it has no holder. */
 const OBSERVERS = 2;
--- a/src/core/ordering/proving_order.ts
+++ b/src/core/ordering/proving_order.ts
@@ -9,7 +9,7 @@
 import {
   buildEvictionOrder,
   type EngineOrder,
-} from "../admission/engine_desk.ts";
+} from "../admission/admission_controller.ts";
 import { findRendezvousWinner } from "../hashing.ts";
 import { formatAdapterPath } from "../placement/adapter_path.ts";
 
--- a/src/core/placement/adapter_places.ts
+++ b/src/core/placement/adapter_slots.ts
@@ -6,7 +6,10 @@
  */
 import { computeDecay } from "../decay.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { FetchObservation, FetchShare } from "./fetch_window.ts";
+import type {
+  FetchObservation,
+  FetchShare,
+} from "./fetch_concurrency_limit.ts";
 
 /** A draining adapter was evicted while runs used it: its slot is not free until the engine reports it gone. */
 export type AdapterSlotState = "loading" | "resident" | "draining";
@@ -279,22 +282,22 @@
 
   /** Puts what the engine reported in place of what was believed; permits are kept. */
   reconcile(
-    adapters: ReadonlyMap<string, { version: number; isComing: boolean }>,
+    adapters: ReadonlyMap<string, { version: number; isLoading: boolean }>,
     now: Milliseconds,
   ): void {
     for (const adapterPath of [...this.#slots.keys()]) {
       if (!adapters.has(adapterPath)) this.#slots.delete(adapterPath);
     }
-    for (const [adapterPath, { version, isComing }] of adapters) {
+    for (const [adapterPath, { version, isLoading }] of adapters) {
       const known = this.#slots.get(adapterPath);
       const place = known ?? this.#createSlot(adapterPath, now);
       place.version = version;
       // What was evicted and is still there drains: it can't be evicted again.
       const isDraining = this.#hostCached.has(adapterPath);
-      place.isConfirmed = !isComing && !isDraining;
-      const isNewlyComing = isComing && place.state !== "loading";
-      if (isNewlyComing) this.#delayLoad(place, INITIAL_FETCH_MS, now);
-      if (!isComing && place.state === "loading") {
+      place.isConfirmed = !isLoading && !isDraining;
+      const isNewlyLoading = isLoading && place.state !== "loading";
+      if (isNewlyLoading) this.#delayLoad(place, INITIAL_FETCH_MS, now);
+      if (!isLoading && place.state === "loading") {
         place.readyAt = Math.min(place.readyAt, now);
       }
       this.#slots.set(adapterPath, place);
--- a/src/core/residency/lease_granter.ts
+++ b/src/core/residency/lease_granter.ts
@@ -1,7 +1,7 @@
 /** Grants leases on one upstream within its batch room, and takes them back. */
 import type { HandoverMessage, LeaseRequestMessage } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { GrantedLeases } from "./lease_ledger.ts";
+import { GrantedLeases } from "./granted_leases.ts";
 import type { LeaseQueue, WaitingLeaseRequest } from "./lease_queue.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { UpstreamReader } from "./upstream_reader.ts";
--- a/src/core/residency/upstream_ownership.ts
+++ b/src/core/residency/owned_upstreams.ts
@@ -23,7 +23,7 @@
 } from "../structures.ts";
 import type { TableKeeper } from "../tables/table_keeper.ts";
 import { AdapterPopularity } from "./adapter_popularity.ts";
-import type { StorePermit, StorePermitClient } from "./store_access.ts";
+import type { StorePermit, StorePermitClient } from "./store_permit_client.ts";
 import type { OwnedUpstreamDescription } from "./owner_description.ts";
 import { UpstreamOwner } from "./upstream_owner.ts";
 
--- a/src/core/residency/owner_context.ts
+++ b/src/core/residency/owner_context.ts
@@ -10,7 +10,7 @@
 } from "../structures.ts";
 import { PoolKind } from "../structures.ts";
 import type { AdapterPopularity } from "./adapter_popularity.ts";
-import type { StorePermitClient } from "./store_access.ts";
+import type { StorePermitClient } from "./store_permit_client.ts";
 
 export interface UpstreamOwnerOptions {
   selfId: string;
--- a/src/core/residency/owner_description.ts
+++ b/src/core/residency/owner_description.ts
@@ -2,7 +2,7 @@
 import type { OwnerState } from "../../charts/owner_chart.ts";
 import type { UpstreamDigest } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { GrantedLeases } from "./lease_ledger.ts";
+import type { GrantedLeases } from "./granted_leases.ts";
 import type { LeaseQueue } from "./lease_queue.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { OwnershipClaim } from "./ownership_claim.ts";
--- a/src/core/residency/ownership_claim.ts
+++ b/src/core/residency/ownership_claim.ts
@@ -11,7 +11,7 @@
   type Milliseconds,
   type UpstreamStateStructure,
 } from "../structures.ts";
-import type { PendingOrders } from "./order_book.ts";
+import type { PendingOrders } from "./pending_orders.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { UpstreamReader } from "./upstream_reader.ts";
 
--- a/src/core/residency/slot_loader.ts
+++ b/src/core/residency/slot_loader.ts
@@ -1,11 +1,11 @@
 /** Loads and evictions on one upstream: which adapter takes which slot, and when. */
 import type { OrderResult } from "../events.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { GrantedLeases } from "./lease_ledger.ts";
+import type { GrantedLeases } from "./granted_leases.ts";
 import type { LeaseQueue } from "./lease_queue.ts";
 import type { LeaseRequestMessage } from "../messages.ts";
-import type { StoreDemand, StorePermit } from "./store_access.ts";
-import type { PendingOrders } from "./order_book.ts";
+import type { StoreDemand, StorePermit } from "./store_permit_client.ts";
+import type { PendingOrders } from "./pending_orders.ts";
 import type { OwnerContext } from "./owner_context.ts";
 import type { OwnershipClaim } from "./ownership_claim.ts";
 import { type Slot, SlotTable } from "./slot_table.ts";
--- a/src/core/residency/store_access.ts
+++ b/src/core/residency/store_permit_client.ts
@@ -15,7 +15,7 @@
   StoreStatusMessage,
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { StoreCoordinator, type StoreShare } from "./store_keeper.ts";
+import { StoreCoordinator, type StoreShare } from "./store_coordinator.ts";
 
 export interface StorePermitClientOptions {
   selfId: string;
--- a/src/core/residency/upstream_owner.ts
+++ b/src/core/residency/upstream_owner.ts
@@ -19,7 +19,7 @@
 import { LeaseGranter } from "./lease_granter.ts";
 import { LeaseQueue, type WaitingLeaseRequest } from "./lease_queue.ts";
 import { LeaseRefuser } from "./lease_refuser.ts";
-import { PendingOrders } from "./order_book.ts";
+import { PendingOrders } from "./pending_orders.ts";
 import {
   OwnerContext,
   type UpstreamConfiguration,
@@ -33,7 +33,7 @@
   type OwnedUpstreamDescription,
 } from "./owner_description.ts";
 import { SlotLoader } from "./slot_loader.ts";
-import type { StoreDemand, StorePermit } from "./store_access.ts";
+import type { StoreDemand, StorePermit } from "./store_permit_client.ts";
 import { UpstreamReader } from "./upstream_reader.ts";
 
 export class UpstreamOwner {
--- a/src/core/view/published_view.ts
+++ b/src/core/view/published_view.ts
@@ -29,7 +29,7 @@
   /** Time within which the first byte is worth its full value. */
   latencyObjectiveMs: Milliseconds;
   /** Longest pause between a stream's events for which it is still in time; 0 where none is declared. */
-  pauseObjectiveMs: Milliseconds;
+  interTokenObjectiveMs: Milliseconds;
   /** 0 is the most urgent. */
   priorityRank: number;
   /** Upstreams to which one request may be sent, at most. */
--- a/src/gateway/caller_task.ts
+++ b/src/gateway/caller_task.ts
@@ -18,7 +18,7 @@
 import { CallerExchange } from "./caller_exchange.ts";
 import type { RequestMetadata } from "./ports.ts";
 import type { RequestContext } from "./request_context.ts";
-import { RequestHandler } from "./request_flow.ts";
+import { RequestHandler } from "./request_handler.ts";
 
 /** Bounds before a configuration says otherwise. */
 const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
--- a/src/gateway/engine_place_finder.ts
+++ b/src/gateway/engine_selector.ts
@@ -6,16 +6,16 @@
 import {
   DenialReason,
   type PermitAnswer,
-} from "../core/admission/engine_desk.ts";
-import { DEFAULT_PREFILL_TOKENS_PER_MS } from "../core/admission/batch_room.ts";
-import { computeMaxPermitWaitMs } from "../core/admission/place_patience.ts";
+} from "../core/admission/admission_controller.ts";
+import { DEFAULT_PREFILL_TOKENS_PER_MS } from "../core/admission/batch_capacity.ts";
+import { computeMaxPermitWaitMs } from "../core/admission/permit_wait.ts";
 import { AttemptOutcome } from "../core/execution/attempt_verdict.ts";
 import { formatAdapterPath } from "../core/placement/adapter_path.ts";
 import {
   type DomainDemand,
   MAX_ADAPTER_REPLICAS,
   rankEngines,
-} from "../core/placement/upstream_choice.ts";
+} from "../core/placement/upstream_ranking.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type {
   PublishedRoute,
@@ -234,14 +234,14 @@
   ): Promise<PermitReply> {
     const { selfId, engines } = this.#context;
     const { metadata: metadata } = this.#exchange;
-    const { latencyObjectiveMs, pauseObjectiveMs, priorityRank } =
+    const { latencyObjectiveMs, interTokenObjectiveMs, priorityRank } =
       this.#options.route;
     const remainingMs = Math.max(1, this.#options.endsAt - performance.now());
     const elapsedMs = performance.now() - this.#exchange.arrivedAt;
     const firstTokenBudgetMs = Math.max(0, latencyObjectiveMs - elapsedMs);
     const patienceMs = computeMaxPermitWaitMs({
       latencyObjectiveMs,
-      pauseObjectiveMs,
+      interTokenObjectiveMs,
       elapsedMs,
       remainingMs,
     });
--- a/src/gateway/engine_task.ts
+++ b/src/gateway/engine_task.ts
@@ -6,7 +6,7 @@
   DenialReason,
   type PermitAnswer,
   type PermitRequest,
-} from "../core/admission/engine_desk.ts";
+} from "../core/admission/admission_controller.ts";
 import { hashText } from "../core/hashing.ts";
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import { PauseDetector } from "../core/fleet/pause_detector.ts";
@@ -14,15 +14,15 @@
   EngineOwner,
   type EngineOwnerEffect,
   type OwnershipContext,
-} from "../core/ordering/engine_holder.ts";
-import { OwnerRoles } from "../core/ordering/holder_roles.ts";
-import type { FetchShare } from "../core/placement/fetch_window.ts";
+} from "../core/ordering/engine_owner.ts";
+import { OwnerRoles } from "../core/ordering/owner_roles.ts";
+import type { FetchShare } from "../core/placement/fetch_concurrency_limit.ts";
 import type { FenceClock } from "../core/ordering/fence_clock.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type { PublishedView } from "../core/view/published_view.ts";
 import { describeStep } from "../daemon/step_error.ts";
 import type { DecisionLog } from "./decision_log.ts";
-import { FetchLimiter } from "./fetch_pacer.ts";
+import { FetchLimiter } from "./fetch_limiter.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
 import { PermitClient } from "./permit_client.ts";
--- a/src/gateway/fetch_pacer.ts
+++ b/src/gateway/fetch_limiter.ts
@@ -3,11 +3,11 @@
  * lets their number follow how long they take, here and at the other daemons.
  */
 import type { FleetView } from "../core/fleet/fleet_view.ts";
-import type { EngineOwner } from "../core/ordering/engine_holder.ts";
+import type { EngineOwner } from "../core/ordering/engine_owner.ts";
 import {
   FetchConcurrencyLimit,
   type FetchShare,
-} from "../core/placement/fetch_window.ts";
+} from "../core/placement/fetch_concurrency_limit.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type { DecisionLog } from "./decision_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -32,7 +32,7 @@
 import type { RequestContext } from "./request_context.ts";
 import { UpstreamClient } from "./upstream_client.ts";
 import { waitMs } from "./wait.ts";
-import { ViewSynchronizer } from "./view_follower.ts";
+import { ViewSynchronizer } from "./view_synchronizer.ts";
 
 /** Crashes of upstreams after which a request is refused. */
 const MAX_STRIKES = 4;
--- a/src/gateway/peer_message_decoder.ts
+++ b/src/gateway/peer_message_decoder.ts
@@ -7,7 +7,7 @@
 import type { Buffer } from "node:buffer";
 import { Err, Ok, type Result } from "ts-results-es";
 import * as z from "zod";
-import { DenialReason } from "../core/admission/engine_desk.ts";
+import { DenialReason } from "../core/admission/admission_controller.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
 
 /** What goes into one datagram. */
--- a/src/gateway/peer_messages.ts
+++ b/src/gateway/peer_messages.ts
@@ -3,9 +3,9 @@
   AdoptedRun,
   PermitAnswer,
   PermitRequest,
-} from "../core/admission/engine_desk.ts";
+} from "../core/admission/admission_controller.ts";
 import type { Heartbeat } from "../core/fleet/heartbeat.ts";
-import type { OwnershipHandover } from "../core/ordering/engine_holder.ts";
+import type { OwnershipHandover } from "../core/ordering/engine_owner.ts";
 import type { Milliseconds } from "../core/structures.ts";
 
 export type GatewayMessage =
--- a/src/gateway/permit_client.ts
+++ b/src/gateway/permit_client.ts
@@ -2,16 +2,16 @@
  * Asks engines' holders for places on behalf of this daemon's callers, and keeps
  * the runs that came of it, so that a new holder can be told of them.
  */
-import type { BatchDemand } from "../core/admission/batch_room.ts";
+import type { BatchDemand } from "../core/admission/batch_capacity.ts";
 import {
   DenialReason,
   type PermitAnswer,
   type PermitRequest,
-} from "../core/admission/engine_desk.ts";
+} from "../core/admission/admission_controller.ts";
 import type { FleetView } from "../core/fleet/fleet_view.ts";
-import { OwnerHints } from "../core/fleet/told_holders.ts";
-import { RunEstimator } from "../core/admission/run_pace.ts";
-import { PermitReleaseRetryQueue } from "../core/admission/undelivered_returns.ts";
+import { OwnerHints } from "../core/fleet/owner_hints.ts";
+import { RunEstimator } from "../core/admission/run_estimator.ts";
+import { PermitReleaseRetryQueue } from "../core/admission/permit_release_retry_queue.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type { PublishedUpstream } from "../core/view/published_view.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
--- a/src/gateway/ports.ts
+++ b/src/gateway/ports.ts
@@ -6,7 +6,7 @@
 import type {
   OrderAnswer,
   OrderReport,
-} from "../core/ordering/tenure_state.ts";
+} from "../core/ordering/ownership_state.ts";
 import type { PublishedChange } from "../core/view/published_view.ts";
 import type { StoreBatch, StoreChange } from "../core/view/store_mirror.ts";
 import type { Milliseconds } from "../core/structures.ts";
@@ -138,7 +138,7 @@
   /** Base models that it holds. */
   models: string[];
   /** Resident and coming adapters as `model/adapter`, with their versions. */
-  adapters: Map<string, { version: number; isComing: boolean }>;
+  adapters: Map<string, { version: number; isLoading: boolean }>;
   running: number;
   waiting: number;
   /** Whether the engine says that it is about to leave. */
--- a/src/gateway/request_context.ts
+++ b/src/gateway/request_context.ts
@@ -6,7 +6,7 @@
 import type { AdapterDemand } from "../core/placement/adapter_demand.ts";
 import type { DomainReachability } from "../core/placement/domain_reachability.ts";
 import type { UpstreamBackoff } from "../core/placement/upstream_backoff.ts";
-import type { ServiceLoad } from "../core/placement/upstream_choice.ts";
+import type { ServiceLoad } from "../core/placement/upstream_ranking.ts";
 import type { UpstreamHealth } from "../core/placement/upstream_health.ts";
 import type { PublishedView } from "../core/view/published_view.ts";
 import type { DecisionLog } from "./decision_log.ts";
--- a/src/gateway/request_flow.ts
+++ b/src/gateway/request_handler.ts
@@ -3,7 +3,7 @@
  * answers its caller once. The decisions are the core's; this carries them out.
  */
 import type { Buffer } from "node:buffer";
-import { computeRetryAfterMs } from "../core/admission/refusal_advice.ts";
+import { computeRetryAfterMs } from "../core/admission/retry_after.ts";
 import {
   AttemptOutcome,
   type AttemptVerdict,
@@ -12,7 +12,7 @@
 } from "../core/execution/attempt_verdict.ts";
 import { EventSplitter } from "../core/execution/event_splitter.ts";
 import { HealthSignal } from "../core/placement/upstream_health.ts";
-import { rankServiceUpstreams } from "../core/placement/upstream_choice.ts";
+import { rankServiceUpstreams } from "../core/placement/upstream_ranking.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import {
   type PublishedRoute,
@@ -28,7 +28,7 @@
   SinkDecision,
 } from "./attempt_runner.ts";
 import type { CallerExchange } from "./caller_exchange.ts";
-import { EngineSelector } from "./engine_place_finder.ts";
+import { EngineSelector } from "./engine_selector.ts";
 import { roundMs } from "./decision_log.ts";
 import type { ResponseHead } from "./ports.ts";
 import type { RequestContext } from "./request_context.ts";
--- a/src/gateway/view_follower.ts
+++ b/src/gateway/view_synchronizer.ts
@@ -5,13 +5,13 @@
 import { Agent, createServer, type Server } from "node:http";
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import type { Milliseconds } from "../core/structures.ts";
-import { SyncPeerSelector } from "../core/view/catch_up.ts";
+import { SyncPeerSelector } from "../core/view/sync_peer_selector.ts";
 import type { PublishedView } from "../core/view/published_view.ts";
 import { type StoreBatch, StoreMirror } from "../core/view/store_mirror.ts";
 import { describeError, describeStep } from "../daemon/step_error.ts";
 import type { DecisionLog } from "./decision_log.ts";
 import type { GatewayMetrics } from "./gateway_metrics.ts";
-import { sendHttpRequest } from "./http_exchange.ts";
+import { sendHttpRequest } from "./http_client.ts";
 import { decodePeerBatch, encodePeerBatch } from "./peer_batch.ts";
 import {
   type ChangeDecoder,
--- a/test/core/admission/engine_desk_test.ts
+++ b/test/core/admission/admission_controller_test.ts
@@ -1,13 +1,13 @@
 /** Replays of loads at one engine's desk: slots, prompts, priorities and patience. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { BatchCapacity } from "../../../src/core/admission/batch_room.ts";
+import { BatchCapacity } from "../../../src/core/admission/batch_capacity.ts";
 import {
   AdmissionController,
   type EngineOrder,
   type PermitRequest,
-} from "../../../src/core/admission/engine_desk.ts";
-import { AdapterSlots } from "../../../src/core/placement/adapter_places.ts";
+} from "../../../src/core/admission/admission_controller.ts";
+import { AdapterSlots } from "../../../src/core/placement/adapter_slots.ts";
 
 const SLOTS = 2;
 
@@ -113,7 +113,7 @@
 test("nothing is evicted until other daemons have told of their runs", () => {
   const desk = createDesk();
   const held = new Map(
-    ["m/a1", "m/a2"].map((path) => [path, { version: 1, isComing: false }]),
+    ["m/a1", "m/a2"].map((path) => [path, { version: 1, isLoading: false }]),
   );
   desk.slots.reconcile(held, 0);
   desk.beginAdoption(0);
@@ -208,7 +208,7 @@
 test("a newer version is loaded in place of the old one before it is used", () => {
   const desk = createDesk();
   desk.slots.reconcile(
-    new Map([["m/a1", { version: 1, isComing: false }]]),
+    new Map([["m/a1", { version: 1, isLoading: false }]]),
     0,
   );
   const request = createRequest({ version: 2 });
@@ -266,7 +266,7 @@
   assert.equal(desk.listEvictable(500).map((place) => place.adapterPath), [
     "m/a1",
   ]);
-  const reported = { version: 1, isComing: false };
+  const reported = { version: 1, isLoading: false };
   desk.slots.reconcile(
     new Map([["m/a1", reported], ["m/a2", reported]]),
     600,
@@ -276,7 +276,7 @@
 
 test("an eviction that waits for runs frees no slot until the engine reports the adapter gone", () => {
   const desk = createDesk();
-  const reported = { version: 1, isComing: false };
+  const reported = { version: 1, isLoading: false };
   const both = new Map([["m/a1", reported], ["m/a2", reported]]);
   desk.slots.reconcile(both, 0);
   const request = createRequest({ adapter: "a3", patienceMs: 5_000 });
@@ -294,7 +294,7 @@
 
 test("evictions begin as soon as all daemons have told of their runs", () => {
   const desk = createDesk();
-  const reported = { version: 1, isComing: false };
+  const reported = { version: 1, isLoading: false };
   desk.slots.reconcile(
     new Map([["m/a1", reported], ["m/a2", reported]]),
     0,
@@ -352,7 +352,7 @@
 
 test("an adapter that is still there after its eviction drains, and is not evicted again", () => {
   const desk = createDesk();
-  const reported = { version: 1, isComing: false };
+  const reported = { version: 1, isLoading: false };
   desk.slots.reconcile(new Map([["m/a1", reported]]), 0);
   assert.is(desk.listEvictable(0).length, 1);
   desk.slots.recordEvicted("m/a1");
--- a/test/core/admission/batch_room_test.ts
+++ b/test/core/admission/batch_capacity_test.ts
@@ -1,7 +1,7 @@
 /** How fast an engine reads prompts is learnt from long ones; short ones tell nothing. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { BatchCapacity } from "../../../src/core/admission/batch_room.ts";
+import { BatchCapacity } from "../../../src/core/admission/batch_capacity.ts";
 
 function createDemand(promptTokens: number) {
   return {
--- a/test/core/admission/undelivered_returns_test.ts
+++ b/test/core/admission/permit_release_retry_queue_test.ts
@@ -1,7 +1,7 @@
 /** Returns of permits that a cut held up are sent again once their holder is heard, not for ever. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { PermitReleaseRetryQueue } from "../../../src/core/admission/undelivered_returns.ts";
+import { PermitReleaseRetryQueue } from "../../../src/core/admission/permit_release_retry_queue.ts";
 
 function createDue(message: string, ownerId = "h", expiresAt = 10_000) {
   return { message, ownerId: ownerId, expiresAt };
--- a/test/core/admission/place_patience_test.ts
+++ b/test/core/admission/permit_wait_test.ts
@@ -1,7 +1,7 @@
 /** Waits for a place end while the caller is still there. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { computeMaxPermitWaitMs } from "../../../src/core/admission/place_patience.ts";
+import { computeMaxPermitWaitMs } from "../../../src/core/admission/permit_wait.ts";
 
 /** Callers leave a stream after four objectives without an event, two seconds at the least. */
 const LEAVES_AT = (objectiveMs: number) => Math.max(2_000, 4 * objectiveMs);
@@ -9,7 +9,7 @@
 test("a chat with a long limit does not wait until its caller has left", () => {
   const patience = computeMaxPermitWaitMs({
     latencyObjectiveMs: 800,
-    pauseObjectiveMs: 0,
+    interTokenObjectiveMs: 0,
     elapsedMs: 0,
     remainingMs: 15_000,
   });
@@ -23,8 +23,14 @@
     elapsedMs: 0,
     remainingMs: 20_000,
   };
-  const short = computeMaxPermitWaitMs({ ...request, pauseObjectiveMs: 0 });
-  const long = computeMaxPermitWaitMs({ ...request, pauseObjectiveMs: 300 });
+  const short = computeMaxPermitWaitMs({
+    ...request,
+    interTokenObjectiveMs: 0,
+  });
+  const long = computeMaxPermitWaitMs({
+    ...request,
+    interTokenObjectiveMs: 300,
+  });
   assert.ok(short < LEAVES_AT(500) - 500, String(short));
   assert.is(long - short, 400);
 });
@@ -32,7 +38,7 @@
 test("what has waited already counts", () => {
   const patience = computeMaxPermitWaitMs({
     latencyObjectiveMs: 800,
-    pauseObjectiveMs: 0,
+    interTokenObjectiveMs: 0,
     elapsedMs: 2_400,
     remainingMs: 12_600,
   });
@@ -42,7 +48,7 @@
 test("a place that can still be in time is waited for, within the limit", () => {
   const patience = computeMaxPermitWaitMs({
     latencyObjectiveMs: 1_000,
-    pauseObjectiveMs: 0,
+    interTokenObjectiveMs: 0,
     elapsedMs: 100,
     remainingMs: 700,
   });
--- a/test/core/admission/refusal_advice_test.ts
+++ b/test/core/admission/retry_after_test.ts
@@ -1,7 +1,7 @@
 /** Times to come back: spread, and within what the caller can wait. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { computeRetryAfterMs } from "../../../src/core/admission/refusal_advice.ts";
+import { computeRetryAfterMs } from "../../../src/core/admission/retry_after.ts";
 import {
   canAdmitWhileStopping,
   canFinishBefore,
--- a/test/core/admission/run_pace_test.ts
+++ b/test/core/admission/run_estimator_test.ts
@@ -1,7 +1,7 @@
 /** Durations of runs and times between idle slots, learnt within some tens of runs. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { RunEstimator } from "../../../src/core/admission/run_pace.ts";
+import { RunEstimator } from "../../../src/core/admission/run_estimator.ts";
 
 test("the mean duration follows the runs", () => {
   const pace = new RunEstimator();
--- a/test/core/fleet/fleet_view_test.ts
+++ b/test/core/fleet/fleet_view_test.ts
@@ -7,7 +7,7 @@
   GossipEntry,
   Heartbeat,
 } from "../../../src/core/fleet/heartbeat.ts";
-import { selectOwnerGroup } from "../../../src/core/fleet/holder_group.ts";
+import { selectOwnerGroup } from "../../../src/core/fleet/owner_group.ts";
 import { buildHeartbeat } from "./heartbeat_builder.ts";
 
 function createMember(id: string, failureDomain = "a"): FleetMember {
--- a/test/core/fleet/large_fleet_test.ts
+++ b/test/core/fleet/large_fleet_test.ts
@@ -12,7 +12,7 @@
   Heartbeat,
 } from "../../../src/core/fleet/heartbeat.ts";
 import { rankByRendezvous } from "../../../src/core/hashing.ts";
-import { selectOwnerGroup } from "../../../src/core/fleet/holder_group.ts";
+import { selectOwnerGroup } from "../../../src/core/fleet/owner_group.ts";
 import { buildHeartbeat } from "./heartbeat_builder.ts";
 
 /**
--- a/test/core/fleet/told_holders_test.ts
+++ b/test/core/fleet/owner_hints_test.ts
@@ -1,7 +1,7 @@
 /** Holders that other daemons named are believed for a while, and then forgotten. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { OwnerHints } from "../../../src/core/fleet/told_holders.ts";
+import { OwnerHints } from "../../../src/core/fleet/owner_hints.ts";
 
 test("the latest word counts until it is old", () => {
   const told = new OwnerHints();
--- a/test/core/ordering/order_tenure_test.ts
+++ b/test/core/ordering/engine_ownership_test.ts
@@ -5,7 +5,7 @@
   EngineOwnership,
   OrderEvidence,
   REPORT_LAG_MS,
-} from "../../../src/core/ordering/order_tenure.ts";
+} from "../../../src/core/ordering/engine_ownership.ts";
 
 const TERM_MS = 3_000;
 const BORN = 1_000;
--- a/test/core/ordering/holder_roles_test.ts
+++ b/test/core/ordering/owner_roles_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { FleetView } from "../../../src/core/fleet/fleet_view.ts";
-import { OwnerRoles } from "../../../src/core/ordering/holder_roles.ts";
+import { OwnerRoles } from "../../../src/core/ordering/owner_roles.ts";
 import { buildHeartbeat } from "../fleet/heartbeat_builder.ts";
 
 const SELF = { id: "self", ip: "10.0.0.1", failureDomain: "a" };
--- a/test/core/placement/adapter_places_test.ts
+++ b/test/core/placement/adapter_slots_test.ts
@@ -1,7 +1,7 @@
 /** The estimate of a load follows what is seen, and does not forget at once that it was too short. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { AdapterSlots } from "../../../src/core/placement/adapter_places.ts";
+import { AdapterSlots } from "../../../src/core/placement/adapter_slots.ts";
 
 const SLOTS = 5;
 /** Time of a load on the users' grown sheets; the first estimate is that of the smaller sites. */
--- a/test/core/placement/fetch_window_test.ts
+++ b/test/core/placement/fetch_concurrency_limit_test.ts
@@ -4,8 +4,8 @@
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { AdapterSlots } from "../../../src/core/placement/adapter_places.ts";
-import { FetchConcurrencyLimit } from "../../../src/core/placement/fetch_window.ts";
+import { AdapterSlots } from "../../../src/core/placement/adapter_slots.ts";
+import { FetchConcurrencyLimit } from "../../../src/core/placement/fetch_concurrency_limit.ts";
 
 const STEP_MS = 10;
 /** Adapters on their way to one engine, at most: the platform's bound. */
--- a/test/core/placement/upstream_choice_test.ts
+++ b/test/core/placement/upstream_ranking_test.ts
@@ -4,7 +4,7 @@
 import {
   rankEngines,
   rankServiceUpstreams,
-} from "../../../src/core/placement/upstream_choice.ts";
+} from "../../../src/core/placement/upstream_ranking.ts";
 import { UpstreamHealth } from "../../../src/core/placement/upstream_health.ts";
 import type { PublishedUpstream } from "../../../src/core/view/published_view.ts";
 
--- a/test/core/residency/lease_ledger_test.ts
+++ b/test/core/residency/granted_leases_test.ts
@@ -3,7 +3,7 @@
 import {
   type GrantedLease,
   GrantedLeases,
-} from "../../../src/core/residency/lease_ledger.ts";
+} from "../../../src/core/residency/granted_leases.ts";
 
 function createLease(changes: Partial<GrantedLease> = {}): GrantedLease {
   return {
--- a/test/core/residency/ownership_claim_test.ts
+++ b/test/core/residency/ownership_claim_test.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_CORE_SETTINGS } from "../../../src/core/core_settings.ts";
 import type { Effect } from "../../../src/core/effects.ts";
 import type { HandoverMessage } from "../../../src/core/messages.ts";
-import { PendingOrders } from "../../../src/core/residency/order_book.ts";
+import { PendingOrders } from "../../../src/core/residency/pending_orders.ts";
 import {
   OwnerContext,
   type UpstreamOwnerOptions,
--- a/test/core/residency/store_keeper_test.ts
+++ b/test/core/residency/store_coordinator_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import type { Effect } from "../../../src/core/effects.ts";
 import type { PeerMessage } from "../../../src/core/messages.ts";
-import { StoreCoordinator } from "../../../src/core/residency/store_keeper.ts";
+import { StoreCoordinator } from "../../../src/core/residency/store_coordinator.ts";
 
 const LIFETIME_MS = 2_000;
 const SHARE = { loadsPerSecond: 1, loadsInFlight: 2 };
--- a/test/core/view/published_view_test.ts
+++ b/test/core/view/published_view_test.ts
@@ -18,7 +18,7 @@
     isResumable: false,
     timeoutMs: 1_000,
     latencyObjectiveMs: 100,
-    pauseObjectiveMs: 0,
+    interTokenObjectiveMs: 0,
     priorityRank: 1,
     maxAttempts: 2,
     targets: [{ service: "plain", weight: 1 }],
--- a/test/core/view/catch_up_test.ts
+++ b/test/core/view/sync_peer_selector_test.ts
@@ -4,7 +4,7 @@
 import {
   type NewerPeer,
   SyncPeerSelector,
-} from "../../../src/core/view/catch_up.ts";
+} from "../../../src/core/view/sync_peer_selector.ts";
 
 function createPeer(id: string, isSameDomain = true): NewerPeer {
   return { id, ip: id, revision: 9, isSameDomain: isSameDomain };
--- a/test/fuzz/mutants.ts
+++ b/test/fuzz/mutants.ts
@@ -64,7 +64,7 @@
     seed: 12,
     promise: FuzzPromise.NoEvictionInUse,
     patches: [{
-      file: "residency/order_book.ts",
+      file: "residency/pending_orders.ts",
       search: "const ORDER_VALIDITY_MS = 200;",
       replacement: "const ORDER_VALIDITY_MS = 60_000;",
     }],
@@ -250,7 +250,7 @@
     isOfTenure: true,
     promise: FuzzPromise.OneHolder,
     patches: [{
-      file: "ordering/order_tenure.ts",
+      file: "ordering/engine_ownership.ts",
       search:
         "now - this.#state.observedAt >= this.#options.termMs + TERM_MARGIN_MS",
       replacement: "now >= this.#state.observedAt",
@@ -261,7 +261,7 @@
     isOfTenure: true,
     promise: FuzzPromise.OneHolder,
     patches: [{
-      file: "ordering/order_tenure.ts",
+      file: "ordering/engine_ownership.ts",
       search:
         "if (report.sequence > state.sequence) return this.#depose(now);\n    this.#state = {\n      ...state,",
       replacement:
@@ -273,7 +273,7 @@
     isOfTenure: true,
     promise: FuzzPromise.OneHolder,
     patches: [{
-      file: "ordering/order_tenure.ts",
+      file: "ordering/engine_ownership.ts",
       search: "if (!isOwn) return this.#depose(now);",
       replacement: "",
     }],
@@ -283,7 +283,7 @@
     isOfTenure: true,
     promise: FuzzPromise.OneHolder,
     patches: [{
-      file: "ordering/order_tenure.ts",
+      file: "ordering/engine_ownership.ts",
       search: "(isContested ? CONTESTED_VERIFIED_MS : VERIFIED_MS);",
       replacement: "Number.POSITIVE_INFINITY;",
     }],
@@ -293,7 +293,7 @@
     isOfTenure: true,
     promise: FuzzPromise.OneHolder,
     patches: [{
-      file: "ordering/order_tenure.ts",
+      file: "ordering/engine_ownership.ts",
       search:
         "? now + CONTESTED_WINDOW_MS + this.#options.termMs + TERM_MARGIN_MS",
       replacement: "? sentAt",
--- a/test/fuzz/tenure_fuzz_test.ts
+++ b/test/fuzz/tenure_fuzz_test.ts
@@ -18,7 +18,7 @@
   type ContentsReport,
   EngineOwner,
   type EngineOwnerEffect,
-} from "../../src/core/ordering/engine_holder.ts";
+} from "../../src/core/ordering/engine_owner.ts";
 import {
   FleetView,
   RECENTLY_STARTED_MS,
@@ -26,8 +26,8 @@
 import type { FleetMember } from "../../src/core/fleet/heartbeat.ts";
 import { FenceClock } from "../../src/core/ordering/fence_clock.ts";
 import { buildHeartbeat } from "../core/fleet/heartbeat_builder.ts";
-import { OrderOracle } from "./turn_oracle.ts";
-import type { OrderAnswer } from "../../src/core/ordering/tenure_state.ts";
+import { OrderOracle } from "./order_oracle.ts";
+import type { OrderAnswer } from "../../src/core/ordering/ownership_state.ts";
 
 const TERM_MS = 3_000;
 const SLOTS = 3;
@@ -84,12 +84,12 @@
     if (adapter === "") return this.#orderModel(daemon, order, at);
     if (!this.#hasModel(at)) return { kind: "conflict" };
     // As the platform's replicas do: a load under way is confirmed whatever is expected.
-    const isComing = kind === "load" &&
+    const isLoading = kind === "load" &&
       (this.adapters.get(adapterPath) ?? 0) > at;
     // So is the eviction of an adapter that it does not hold, or not yet: it stays on its way.
     const isGone = kind === "evict" &&
       (this.adapters.get(adapterPath) ?? Number.POSITIVE_INFINITY) > at;
-    if (isComing || isGone) {
+    if (isLoading || isGone) {
       this.oracle.check({ daemon, fence: order.fence, at });
       return { kind: "accepted" };
     }
@@ -143,7 +143,7 @@
         adapters: new Map(
           [...this.adapters].map(([path, readyAt]) => [
             path,
-            { version: 1, isComing: readyAt > at },
+            { version: 1, isLoading: readyAt > at },
           ]),
         ),
       },
--- a/test/gateway/answers_test.ts
+++ b/test/gateway/answers_test.ts
@@ -10,7 +10,7 @@
   STREAM_EVENTS,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayHarness } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_harness.ts";
 
 const harness = new GatewayHarness();
 
--- a/test/gateway/bounds_test.ts
+++ b/test/gateway/bounds_test.ts
@@ -10,7 +10,7 @@
   SeenRequest,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayHarness } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_harness.ts";
 
 /** Time in which a published version is known to a gateway, far below the rules' seconds. */
 const PROPAGATION_MS = 700;
--- a/test/gateway/endless_test.ts
+++ b/test/gateway/endless_test.ts
@@ -9,7 +9,7 @@
 import type { EndlessPart } from "../../fakes/endless_answer.ts";
 import type { FakePlatformReplica } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayHarness } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_harness.ts";
 
 const harness = new GatewayHarness();
 /** Deadline of the bench's callers, after which nothing of a request may be left. */
--- a/test/gateway/fleet_test.ts
+++ b/test/gateway/fleet_test.ts
@@ -6,7 +6,7 @@
 import * as assert from "uvu/assert";
 import { FakePlatformReplica } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayHarness, TERM_MS } from "./gateway_bench.ts";
+import { GatewayHarness, TERM_MS } from "./gateway_harness.ts";
 
 const GATEWAYS = 3;
 /** The platform's bounds: a version in force, a leaving replica unused. */
--- a/test/gateway/notices_test.ts
+++ b/test/gateway/notices_test.ts
@@ -10,7 +10,7 @@
   ReplicaBehaviour,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayHarness } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_harness.ts";
 
 const harness = new GatewayHarness();
 /** Time in which a published entry is known to the gateway. */
--- a/test/gateway/observation_test.ts
+++ b/test/gateway/observation_test.ts
@@ -6,7 +6,7 @@
 import * as assert from "uvu/assert";
 import { FakePlatformReplica } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
-import { GatewayHarness } from "./gateway_bench.ts";
+import { GatewayHarness } from "./gateway_harness.ts";
 
 const harness = new GatewayHarness();
 const distant = new FakePlatformReplica("i-distant", true);
--- a/test/gateway/peer_batch_test.ts
+++ b/test/gateway/peer_batch_test.ts
@@ -13,7 +13,7 @@
   decodePeerBatch,
   encodePeerBatch,
 } from "../../src/gateway/peer_batch.ts";
-import { ViewSynchronizer } from "../../src/gateway/view_follower.ts";
+import { ViewSynchronizer } from "../../src/gateway/view_synchronizer.ts";
 import { reservePorts } from "../port_reservation.ts";
 
 const ports = await reservePorts(process.pid);
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -11,7 +11,7 @@
   type ReplicaBehaviour,
   STREAM_EVENTS,
 } from "../../fakes/fake_platform_replica.ts";
-import { OrderOracle } from "../fuzz/turn_oracle.ts";
+import { OrderOracle } from "../fuzz/order_oracle.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
 import { ProxyFault } from "./fault_proxy.ts";
 import { SOAK_TERM_MS, SoakFleet } from "./soak_fleet.ts";
