--- a/src/core/residency/adapter_popularity.ts
+++ b/src/core/residency/adapter_popularity.ts
@@ -5,7 +5,10 @@
 
 /** Time in which a count halves. */
 const HALF_LIFE_MS = 300_000;
-/** Adapters counted at once. */
+/**
+ * Maximum number of adapters counted; beyond it, the one updated longest ago is
+ * dropped.
+ */
 const MAX_ADAPTERS = 16_384;
 
 interface DecayedCount {
@@ -34,12 +37,15 @@
     if (oldest !== undefined) this.#counts.delete(oldest);
   }
 
-  /** Records that a slot was given up, to tell peers how popular its adapter was. */
+  /** Records the eviction of an adapter, so that peers are sent its score. */
   recordEviction(adapterKey: string): void {
     this.#evicted.push(adapterKey);
   }
 
-  /** Returns the evictions since the last call, to tell peers of. */
+  /**
+   * Returns the evictions since the last call, with the scores to send to
+   * peers.
+   */
   takeEvictions(now: Milliseconds): EvictionDigest[] {
     const evicted = this.#evicted;
     if (evicted.length > 0) this.#evicted = [];
@@ -49,7 +55,9 @@
     }));
   }
 
-  /** Takes over what a peer counted; never lowers a count. */
+  /**
+   * Merges the scores that a peer sent; a score never lowers the local count.
+   */
   mergeEvictions(
     evictions: readonly EvictionDigest[],
     now: Milliseconds,
@@ -61,7 +69,7 @@
     }
   }
 
-  /** Returns the decayed count of requests. */
+  /** Returns the decayed request count of the adapter; 0 if none is kept. */
   getScore(adapterKey: string, now: Milliseconds): number {
     const count = this.#counts.get(adapterKey);
     if (!count) return 0;
--- a/src/core/residency/granted_leases.ts
+++ b/src/core/residency/granted_leases.ts
@@ -1,4 +1,4 @@
-/** Leases that an owner has granted on one upstream, and when each is over. */
+/** Leases that an owner has granted on one upstream, and when each expires. */
 import type { LeaseHandoverStructure } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
@@ -7,14 +7,14 @@
   leaseRequestId: string;
   holder: string;
   adapterKey: string;
-  /** Credits not returned. */
+  /** Credits that the holder has not returned. */
   credits: number;
-  /** Credits returned since the grant. */
+  /** Credits that the holder has returned since the grant. */
   returnedCredits: number;
   exclusive: boolean;
   /** No run starts under the lease after this time. */
   windowEndsAt: Milliseconds;
-  /** No run under the lease goes on after this time. */
+  /** Every run under the lease has ended by this time. */
   expiresAt: Milliseconds;
 }
 
@@ -23,7 +23,7 @@
   readonly #credits = new Map<string, number>();
   #creditsInUse = 0;
 
-  /** Adds a lease; one that is known already changes nothing. */
+  /** Adds a lease, unless it was added before. */
   addLease(lease: GrantedLease): void {
     if (this.#leases.has(lease.leaseId)) return;
     this.#leases.set(lease.leaseId, lease);
@@ -38,8 +38,9 @@
   }
 
   /**
-   * Takes credits back, given as the total returned so far, so that a repeated
-   * or late return changes nothing; the lease is over when none is left.
+   * Records returned credits. They are given as the total returned since the
+   * grant, so that a duplicate or reordered message changes nothing. The lease
+   * is removed when no credit is left.
    */
   returnCredits(leaseId: string, returnedCredits: number): void {
     const lease = this.#leases.get(leaseId);
@@ -54,19 +55,20 @@
     if (lease.credits === 0) this.#leases.delete(leaseId);
   }
 
-  /** Ends a lease that its holder never had. */
+  /** Removes a lease that its holder never used. */
   removeLease(leaseId: string): void {
     this.#dropWhere((lease) => lease.leaseId === leaseId);
   }
 
-  /** Drops leases under which no run can go on any more. */
+  /** Drops the leases under which no run can be in progress any more. */
   dropExpired(now: Milliseconds): void {
     this.#dropWhere((lease) => now >= lease.expiresAt);
   }
 
   /**
-   * Drops the leases on an adapter that the upstream reports idle: their
-   * window had ended, with the report's lag, before the report was read.
+   * Drops the leases on an adapter that the upstream reports idle, if their
+   * window ended at least the report's lag before the report was read. Under
+   * any other lease, a run may have started that the report does not count.
    */
   dropIdle(adapterKey: string, readAt: Milliseconds, lagMs: number): void {
     this.#dropWhere((lease) =>
@@ -74,7 +76,7 @@
     );
   }
 
-  /** Drops every lease, when the upstream has restarted and nothing runs. */
+  /** Drops every lease, after a restart of the upstream has ended all runs. */
   dropAll(): void {
     this.#dropWhere(() => true);
   }
@@ -98,7 +100,7 @@
     return [...this.#leases.values()];
   }
 
-  /** Returns the leases as they are handed over to the next owner. */
+  /** Returns the leases in the form that is handed over to the next owner. */
   describeForHandover(now: Milliseconds): LeaseHandoverStructure[] {
     return this.getLeases().map((lease) => ({
       leaseId: lease.leaseId,
--- a/src/core/residency/lease_granter.ts
+++ b/src/core/residency/lease_granter.ts
@@ -1,4 +1,6 @@
-/** Grants leases on one upstream within its batch room, and takes them back. */
+/**
+ * Grants leases on one upstream within its batch capacity, and cancels grants.
+ */
 import type { HandoverMessage, LeaseRequestMessage } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 import { GrantedLeases } from "./granted_leases.ts";
@@ -21,7 +23,12 @@
     this.#reader = parts.reader;
   }
 
-  /** Grants what the batch has room for; the request stays queued when there is none. */
+  /**
+   * Grants as many of the requested credits as the batch has capacity for;
+   * without capacity, the request stays queued. An exclusive lease is granted
+   * only while nothing else can be running on the upstream, and rules out other
+   * leases.
+   */
   tryGrant(
     waiting: WaitingLeaseRequest,
     hasNoPredecessorRun: boolean,
@@ -63,8 +70,9 @@
   }
 
   /**
-   * Answers a repeated request with the grant that its first sending was
-   * given; returns false when there was none.
+   * Answers a retransmitted request by sending its grant again with a new
+   * window, if the owner may grant leases now. Returns false if the request has
+   * no grant.
    */
   tryRenewGrant(
     holder: string,
@@ -85,7 +93,7 @@
     return true;
   }
 
-  /** Takes back the whole grant of a request that its holder gave up. */
+  /** Removes the lease granted to a request that its sender has cancelled. */
   cancelGrant(leaseRequestId: string): void {
     const granted = this.leases.getByRequestId(leaseRequestId);
     if (granted) this.leases.removeLease(granted.leaseId);
@@ -110,7 +118,10 @@
     }
   }
 
-  /** Drops the leases on adapters that the reading shows idle after their window. */
+  /**
+   * Drops the leases on adapters without a running request in the last reading,
+   * if their window ended long enough before it.
+   */
   dropIdleLeases(): void {
     const reading = this.#reader.getReading();
     if (this.#context.isService() || !reading) return;
--- a/src/core/residency/lease_queue.ts
+++ b/src/core/residency/lease_queue.ts
@@ -1,4 +1,7 @@
-/** Lease requests waiting at an owner, in the order in which they are served. */
+/**
+ * Lease requests that an owner has queued, and the order in which it serves
+ * them.
+ */
 import type { LeaseRequestMessage } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
@@ -7,14 +10,17 @@
   request: LeaseRequestMessage;
   arrivedAt: Milliseconds;
   deadlineAt: Milliseconds;
-  /** Whether a load was ordered since the request arrived. */
+  /** Whether the request has waited for its adapter to be loaded. */
   hasWaitedForLoad: boolean;
 }
 
 export class LeaseQueue {
   readonly #waiting = new Map<string, WaitingLeaseRequest>();
 
-  /** Adds a request, or replaces an earlier one of the same identifier. */
+  /**
+   * Adds a request, or replaces the queued one of the same identifier unless
+   * that was sent later. The first arrival time is kept.
+   */
   addOrReplace(waiting: WaitingLeaseRequest): void {
     const id = waiting.request.leaseRequestId;
     const earlier = this.#waiting.get(id);
@@ -52,7 +58,11 @@
     return this.#removeWhere(() => true);
   }
 
-  /** Returns the requests of customers within their share first, by priority, then by deadline. */
+  /**
+   * Returns the requests in the order in which they are served: those of
+   * customers within their fair share first, then by priority, then by
+   * deadline.
+   */
   getOrdered(
     isOverShare: (customer: string) => boolean,
   ): WaitingLeaseRequest[] {
--- a/src/core/residency/lease_refuser.ts
+++ b/src/core/residency/lease_refuser.ts
@@ -1,4 +1,4 @@
-/** Decides whether a lease request is refused, and answers it so. */
+/** Decides whether a lease request is refused, and sends the refusal. */
 import type { LeaseRequestMessage } from "../messages.ts";
 import { LeaseRefusalReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
@@ -15,7 +15,9 @@
   loader: SlotLoader;
 }
 
-/** Added to the expected wait when a holder is told to come back. */
+/**
+ * Added to the expected load time in the retry delay that a refusal carries.
+ */
 const RETRY_MARGIN_MS = 100;
 
 export class LeaseRefuser {
@@ -27,7 +29,9 @@
     this.#parts = parts;
   }
 
-  /** Returns why the request cannot be served, or undefined. */
+  /**
+   * Returns the reason to refuse the request, or undefined if it may be queued.
+   */
   findRefusal(
     request: LeaseRequestMessage,
     now: Milliseconds,
@@ -49,7 +53,10 @@
     return undefined;
   }
 
-  /** Answers a lease request with a refusal; with a redirection, names the upstream. */
+  /**
+   * Sends a refusal to the requester; a redirect names the upstream to use
+   * instead.
+   */
   refuse(
     holder: string,
     request: LeaseRequestMessage,
--- a/src/core/residency/owned_upstreams.ts
+++ b/src/core/residency/owned_upstreams.ts
@@ -1,6 +1,7 @@
 /**
- * The upstreams that this daemon owns: takes them up and gives them up as the
- * live daemons of its failure domain change, with the handover between owners.
+ * The upstreams that this daemon owns. Takes and releases ownership as the set
+ * of alive daemons in its failure domain changes, with a handover between
+ * owners.
  */
 import type { CorePolicy } from "../core_policy.ts";
 import { FairShares } from "../limits/fair_shares.ts";
@@ -36,15 +37,18 @@
   membership: Membership;
   store: StorePermitClient;
   emit: (effect: Effect) => void;
-  /** Tells peers what the owner knows of an upstream. */
+  /** Publishes the digest of an owned upstream to peers. */
   publishUpstream: (digest: UpstreamDigest, now: Milliseconds) => void;
-  /** Tells peers that an upstream is not owned here any more. */
+  /** Tells peers that this daemon does not own an upstream any more. */
   removeUpstream: (upstreamId: string) => void;
-  /** Tells peers what has been evicted here. */
+  /** Publishes the evictions on owned upstreams to peers. */
   publishEvictions: (evictions: readonly EvictionDigest[]) => void;
 }
 
-/** Time for which a handover waits for its ownership to be seen here. */
+/**
+ * Time for which a handover is kept that arrives before this daemon becomes the
+ * owner.
+ */
 const HANDOVER_LIFETIME_MS = 5_000;
 
 export class OwnedUpstreams {
@@ -53,14 +57,17 @@
   readonly #loadShares: FairShares;
   readonly #popularity = new AdapterPopularity();
   readonly #owners = new Map<string, UpstreamOwner>();
-  /** Shared by all upstreams, so that one taken again does not repeat a name. */
+  /**
+   * Shared by all upstreams, so that one owned again does not repeat an
+   * identifier.
+   */
   readonly #ids: IdSource;
   readonly #handovers = new Map<
     string,
     { message: HandoverMessage; arrivedAt: Milliseconds }
   >();
 
-  /** State of the membership and the tables at the last update. */
+  /** Membership epoch and tables revision at the last update. */
   #epoch = -1;
   #revision = -1;
 
@@ -77,7 +84,10 @@
     return this.#owners.get(upstreamId);
   }
 
-  /** Takes up and gives up upstreams as the live daemons of the domain change. */
+  /**
+   * Takes and releases ownership as the set of alive daemons in the domain or
+   * the tables change.
+   */
   update(now: Milliseconds): void {
     const { selfId, membership, tables } = this.#options;
     const { epoch } = membership;
@@ -114,7 +124,9 @@
     this.#updateDemand(now);
   }
 
-  /** Answers a lease request, for an upstream that is owned here or not. */
+  /**
+   * Answers a lease request; refuses it for an upstream that is not owned here.
+   */
   requestLease(
     from: string,
     request: LeaseRequestMessage,
@@ -167,7 +179,10 @@
     this.#options.store.updateDemand(total, now);
   }
 
-  /** Hands every upstream over to its next owner; one that has none is kept until the end. */
+  /**
+   * Hands every upstream over to its next owner, for a planned stop. One that
+   * has no next owner is kept until the process ends.
+   */
   handOverAll(now: Milliseconds): void {
     for (const owner of [...this.#owners.values()]) {
       if (this.#isLastOwner(owner.upstreamId)) continue;
@@ -175,7 +190,7 @@
     }
   }
 
-  /** Gives everything up without a handover, after a pause of this process. */
+  /** Ends every ownership without a handover, after a pause of this process. */
   expireAll(now: Milliseconds): void {
     for (const owner of this.#owners.values()) {
       owner.release(LeaseRefusalReason.NotOwner, now);
@@ -231,7 +246,10 @@
     owner.tick(now);
   }
 
-  /** Returns whether a planned stop has left no daemon that could own the upstream. */
+  /**
+   * Returns whether a planned stop has left no daemon that could own the
+   * upstream.
+   */
   #isLastOwner(upstreamId: string): boolean {
     const { membership } = this.#options;
     return membership.getUpstreamHost(upstreamId) !== undefined &&
@@ -250,7 +268,9 @@
     owner.updateConfiguration({ host, pool, maxRunMs });
   }
 
-  /** Hands the upstream over to its next owner, if one is known. */
+  /**
+   * Releases an upstream, and hands it over to its next owner if one is known.
+   */
   #releaseOwnership(
     owner: UpstreamOwner,
     reason: LeaseRefusalReason,
--- a/src/core/residency/owner_context.ts
+++ b/src/core/residency/owner_context.ts
@@ -1,4 +1,4 @@
-/** What the parts of an upstream's owner share. */
+/** Options shared by the components of an upstream's owner. */
 import type { CorePolicy } from "../core_policy.ts";
 import type { FairShares } from "../limits/fair_shares.ts";
 import type { CoreSettings } from "../core_settings.ts";
@@ -20,26 +20,34 @@
   policy: CorePolicy;
   popularity: AdapterPopularity;
   store: StorePermitClient;
-  /** Longest run of any route to the pool. */
+  /** Maximum run time over all routes to the pool. */
   maxRunMs: Milliseconds;
-  /** Credits given to each customer. */
+  /** Fair shares of the credits granted to customers. */
   creditShares: FairShares;
-  /** Loads ordered for each customer. */
+  /** Fair shares of the loads ordered for customers. */
   loadShares: FairShares;
   emit: (effect: Effect) => void;
-  /** Returns another upstream of the pool that has the adapter or, ranked before this one, is about to load it. */
+  /**
+   * Returns another upstream of the service that has the adapter, or that is
+   * about to load it and whose identifier sorts before this one's.
+   */
   findRedirectTarget: (adapterKey: string) => string | undefined;
-  /** Returns an identifier that no other daemon or incarnation gives. */
+  /**
+   * Returns an identifier that is unique across daemons and their incarnations.
+   */
   createId: (prefix: string) => string;
 }
 
-/** What of an upstream the tables and the host list may change while it is owned. */
+/**
+ * Options that the tables or the host list may change while the upstream is
+ * owned.
+ */
 export type UpstreamConfiguration = Pick<
   UpstreamOwnerOptions,
   "host" | "pool" | "maxRunMs"
 >;
 
-/** The options of an owner. */
+/** Gives the components of an owner its current options. */
 export class OwnerContext {
   #options: UpstreamOwnerOptions;
 
@@ -51,7 +59,7 @@
     return this.#options;
   }
 
-  /** Takes what a newer revision of the tables or of the host list says. */
+  /** Applies a newer revision of the tables or of the host list. */
   updateConfiguration(configuration: UpstreamConfiguration): void {
     this.#options = { ...this.#options, ...configuration };
   }
@@ -64,7 +72,9 @@
     return this.options.pool.kind === PoolKind.Service;
   }
 
-  /** Returns an identifier that no other daemon or incarnation gives. */
+  /**
+   * Returns an identifier that is unique across daemons and their incarnations.
+   */
   createId(prefix: string): string {
     return this.options.createId(prefix);
   }
--- a/src/core/residency/owner_description.ts
+++ b/src/core/residency/owner_description.ts
@@ -24,7 +24,7 @@
   evictionAllowedInMs: number;
 }
 
-/** The parts of an owner that are described. */
+/** Components of an owner from which a description is built. */
 export interface DescribedParts {
   context: OwnerContext;
   claim: OwnershipClaim;
@@ -34,12 +34,12 @@
   loader: SlotLoader;
 }
 
-/** Returns what peers are told of the upstream. */
+/** Returns the digest of the upstream that is published to peers. */
 export function buildUpstreamDigest(
   parts: DescribedParts,
   now: Milliseconds,
 ): UpstreamDigest {
-  const { context, claim, reader, queue, leases: leases, loader } = parts;
+  const { context, claim, reader, queue, leases, loader } = parts;
   return {
     upstreamId: context.upstreamId,
     residents: loader.slots.getByState("resident").map((slot) =>
@@ -54,12 +54,12 @@
   };
 }
 
-/** Returns what operators are shown of the upstream. */
+/** Returns the full description that is shown to operators. */
 export function describeOwner(
   parts: DescribedParts,
   now: Milliseconds,
 ): OwnedUpstreamDescription {
-  const { context, claim, reader, queue, leases: leases, loader } = parts;
+  const { context, claim, reader, queue, leases, loader } = parts;
   return {
     upstreamId: context.upstreamId,
     state: claim.state,
--- a/src/core/residency/ownership_claim.ts
+++ b/src/core/residency/ownership_claim.ts
@@ -1,6 +1,7 @@
 /**
- * The claim of one daemon on one upstream: its state, its fencing number and
- * the time until which leases of earlier owners may still cover a run.
+ * One daemon's claim to the ownership of one upstream: its state, its fencing
+ * number and the time until which runs permitted by previous owners may still
+ * be in progress.
  */
 import { ownerChart, type OwnerState } from "../../charts/owner_chart.ts";
 import type { OrderResult } from "../events.ts";
@@ -15,9 +16,13 @@
 import type { OwnerContext } from "./owner_context.ts";
 import type { UpstreamReader } from "./upstream_reader.ts";
 
-/** Part of a fencing number that tells apart daemons that claim at once. */
+/**
+ * Fencing numbers per epoch. The number within the epoch is a hash of the
+ * daemon's identifier, so that daemons that claim at the same time get
+ * different fencing numbers.
+ */
 const FENCING_EPOCH_SIZE = 65_536;
-/** Time after which a deposed owner reads the upstream again. */
+/** Time after which a deposed owner reads the upstream's state again. */
 const DEPOSED_RETRY_MS = 2_000;
 
 export class OwnershipClaim {
@@ -32,7 +37,7 @@
   /** Fencing number that the upstream reported before it was claimed. */
   #fencingBeforeClaim = 0;
   #evictionAllowedAt = Number.POSITIVE_INFINITY;
-  /** No run that an earlier owner permitted starts after this time. */
+  /** No run permitted by a previous owner starts after this time. */
   #predecessorWindowEndsAt = Number.POSITIVE_INFINITY;
 
   constructor(
@@ -58,7 +63,10 @@
     return this.#state === "owning";
   }
 
-  /** Returns the time left until evictions need no report of the upstream; -1 when unknown. */
+  /**
+   * Returns the time until every run permitted by a previous owner has ended,
+   * so that evictions need no report from the upstream; -1 if unknown.
+   */
   getEvictionAllowedInMs(now: Milliseconds): number {
     const allowedInMs = this.#evictionAllowedAt - now;
     return Number.isFinite(allowedInMs)
@@ -66,12 +74,17 @@
       : -1;
   }
 
-  /** Returns whether the upstream shows that another daemon claimed it later. */
+  /**
+   * Returns whether the upstream reports that another daemon claimed it later.
+   */
   isSuperseded(state: UpstreamStateStructure): boolean {
     return this.isOwning() && state.fencing > this.#fencing;
   }
 
-  /** Returns whether no run that an earlier owner permitted can be going on or start on the adapter. */
+  /**
+   * Returns whether no run permitted by a previous owner can be in progress or
+   * start on the adapter.
+   */
   hasNoPredecessorRunOn(adapterKey: string, now: Milliseconds): boolean {
     const isWaitOver = now >= this.#evictionAllowedAt;
     if (isWaitOver && !this.#isFencingIgnored()) return true;
@@ -79,7 +92,10 @@
       this.#reader.getInFlight(adapterKey) === 0;
   }
 
-  /** Returns whether no run at all that an earlier owner permitted can be going on or start. */
+  /**
+   * Returns whether no run permitted by a previous owner can be in progress or
+   * start anywhere on the upstream.
+   */
   hasNoPredecessorRun(now: Milliseconds): boolean {
     const isWaitOver = now >= this.#evictionAllowedAt;
     if (isWaitOver && !this.#isFencingIgnored()) return true;
@@ -87,7 +103,10 @@
       this.#reader.getReading()?.state.running === 0;
   }
 
-  /** Returns how long leases of earlier owners, which the ledger does not list, may still count. */
+  /**
+   * Returns how long runs may still start, and be in progress, under leases of
+   * previous owners that are not among the granted ones.
+   */
   describePredecessorWait(
     now: Milliseconds,
   ): Pick<HandoverMessage, "predecessorWindowMs" | "predecessorWaitMs"> {
@@ -103,14 +122,19 @@
     this.#applyDirectHandover();
   }
 
-  /** Reads the upstream again some time after another daemon took it. */
+  /**
+   * Starts to read the upstream again some time after this owner was deposed.
+   */
   tick(now: Milliseconds): void {
     const isRetryDue = this.#state === "deposed" &&
       now - this.#stateSince >= DEPOSED_RETRY_MS;
     if (isRetryDue) this.#enter("reading", now);
   }
 
-  /** Claims the upstream, once read, with a fencing number above the highest that it reports. */
+  /**
+   * Claims the upstream once its state has been read, with a fencing number
+   * above the one that it reports and those used here before.
+   */
   claimIfRead(now: Milliseconds): void {
     if (this.#state !== "reading") return;
     this.#enter("claiming", now);
@@ -140,7 +164,11 @@
     this.#applyDirectHandover();
   }
 
-  /** A change that nobody here ordered shows another owner, where fencing can't. */
+  /**
+   * Starts the wait for runs of other owners after a change that this owner did
+   * not order. Where the engine ignores fencing, such a change shows that
+   * another daemon gives orders; no order is refused that would show it.
+   */
   recordExternalChange(now: Milliseconds): void {
     if (!this.isOwning() || !this.#isFencingIgnored()) return;
     this.#context.options.emit({
@@ -151,7 +179,10 @@
     this.#startPredecessorWait(now);
   }
 
-  /** Waits until no run that another owner has permitted until now can go on. */
+  /**
+   * Starts the wait until every run that other owners have permitted up to now
+   * has ended.
+   */
   #startPredecessorWait(now: Milliseconds): void {
     const { settings, maxRunMs } = this.#context.options;
     this.#predecessorWindowEndsAt = now + settings.ownershipValidityMs +
@@ -159,14 +190,15 @@
     this.#evictionAllowedAt = this.#predecessorWindowEndsAt + maxRunMs;
   }
 
-  /** Returns whether the engine takes orders from a former owner as well. */
+  /** Returns whether the engine also accepts orders from a previous owner. */
   #isFencingIgnored(): boolean {
     return this.#context.options.pool.fencing === Fencing.Ignored;
   }
 
   /**
-   * Counts the leases of a daemon that takes itself for the owner too as those
-   * of an earlier owner. Where fencing is checked, the upstream deposes one.
+   * Extends the wait to the leases of another daemon that considers itself the
+   * owner, too. This isn't needed where the upstream checks fencing, as it then
+   * rejects the orders of one of them.
    */
   recordOtherOwner(now: Milliseconds): void {
     if (!this.isOwning() || !this.#isFencingIgnored()) return;
@@ -192,7 +224,7 @@
     this.#handover = undefined;
   }
 
-  /** Gives the upstream up to a daemon that claimed it later. */
+  /** Ends the ownership, as another daemon claimed the upstream later. */
   depose(now: Milliseconds): void {
     this.#enter("deposed", now);
     this.#evictionAllowedAt = Number.POSITIVE_INFINITY;
@@ -204,7 +236,10 @@
     });
   }
 
-  /** Returns whether the last reading counts every run that earlier owners permitted. */
+  /**
+   * Returns whether the last reading counts every run that previous owners
+   * permitted.
+   */
   #isReadAfterPredecessorWindow(now: Milliseconds): boolean {
     const { settings } = this.#context.options;
     const minReadAt = now >= this.#evictionAllowedAt
@@ -215,9 +250,10 @@
   }
 
   /**
-   * Shortens the wait for earlier owners' leases to what the daemon that handed
-   * over still had to wait, when the upstream shows that it was the last one to
-   * claim it; its own leases are in the ledger.
+   * Shortens the wait for leases of previous owners to the wait that the sender
+   * of the handover had left, if the fencing number that the upstream reported
+   * shows that the sender was the last to claim it. The sender's own leases
+   * come with the handover.
    */
   #applyDirectHandover(): void {
     if (!this.isOwning() || !this.#handover) return;
--- a/src/core/residency/pending_orders.ts
+++ b/src/core/residency/pending_orders.ts
@@ -1,12 +1,12 @@
-/** Orders given to one upstream whose end has not been reported. */
+/** Orders given to one upstream whose results are outstanding. */
 import type { UpstreamOrder } from "../effects.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { OwnerContext } from "./owner_context.ts";
 
 /**
- * Time within which an order is sent or dropped: far less than the silence
- * after which another daemon takes the upstream over, so that a daemon that
- * wakes late gives no order of its old ownership.
+ * Time within which an order is sent or dropped. It is far shorter than the
+ * silence after which another daemon takes over the upstream, so that a daemon
+ * that was suspended sends no order from an ownership it has lost.
  */
 const ORDER_VALIDITY_MS = 200;
 
@@ -18,7 +18,7 @@
     this.#context = context;
   }
 
-  /** Gives an order to the upstream under a fencing number. */
+  /** Sends an order to the upstream with the owner's fencing number. */
   giveOrder(
     order: UpstreamOrder,
     fencing: number,
@@ -38,7 +38,10 @@
     });
   }
 
-  /** Removes and returns an order that has ended; undefined when it was not given here. */
+  /**
+   * Removes and returns an order that has ended; undefined if this owner did
+   * not give it.
+   */
   removeOrder(orderId: string): UpstreamOrder | undefined {
     const order = this.#orders.get(orderId);
     this.#orders.delete(orderId);
--- a/src/core/residency/slot_loader.ts
+++ b/src/core/residency/slot_loader.ts
@@ -1,4 +1,7 @@
-/** Loads and evictions on one upstream: which adapter takes which slot, and when. */
+/**
+ * Decides which adapters are loaded into the slots of one upstream and which
+ * are evicted for them, and orders it.
+ */
 import type { OrderResult } from "../events.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { GrantedLeases } from "./granted_leases.ts";
@@ -20,19 +23,25 @@
 /** Time for which an adapter whose load failed is not loaded again. */
 const LOAD_RETRY_DELAY_MS = 500;
 
-/** Worth of a victim where none can be evicted now. */
+/** Victim value reported while no adapter can be evicted. */
 const NO_VICTIM_VALUE = 1_000;
-/** Slack below which a load comes too late, in load times. */
+/**
+ * Time to the deadline below which a load would come too late, as a multiple of
+ * the load time.
+ */
 const MIN_SLACK_LOAD_TIMES = 2;
-/** Slack at which the urgency of a load is half of the highest. */
+/** Time to the deadline at which the urgency of a load is half its maximum. */
 const HALF_URGENCY_SLACK_MS = 2_000;
 
-/** Urgency left to customers above their share while others wait. */
+/**
+ * Factor on the urgency of a load for a customer above its fair share, so that
+ * the loads of other customers go first.
+ */
 const OVER_SHARE_URGENCY_FACTOR = 0.01;
 
 interface WantedLoad {
   adapterKey: string;
-  /** Customer of the request that came first. */
+  /** Customer of the first request that waits for the load. */
   customer: string;
   urgency: number;
 }
@@ -41,9 +50,9 @@
   readonly slots: SlotTable;
   readonly #context: OwnerContext;
   readonly #parts: SlotLoaderParts;
-  /** Permits of the loads that are under way, by adapter. */
+  /** Permits of the loads in progress, by adapter. */
   readonly #permits = new Map<string, StorePermit>();
-  /** Loads that wait for an eviction, by the adapter that is evicted. */
+  /** Loads that wait for an eviction, by the adapter that is being evicted. */
   readonly #nextLoads = new Map<
     string,
     { adapterKey: string; permit: StorePermit }
@@ -56,7 +65,10 @@
     this.slots = new SlotTable(context.options.pool.slots);
   }
 
-  /** Returns the loads that requests wait for and that have room, or could get it. */
+  /**
+   * Returns how many loads requests wait for, limited to the slots that are
+   * free or could be freed by an eviction, with the highest urgency.
+   */
   computeDemand(now: Milliseconds): StoreDemand {
     const wanted = this.#listWanted(now);
     const [mostUrgent] = wanted;
@@ -67,14 +79,17 @@
     return { loads, urgency: loads === 0 ? 0 : mostUrgent.urgency };
   }
 
-  /** Orders the most urgent load, or the eviction that makes room for it. */
+  /**
+   * Orders the most urgent load, or the eviction that frees a slot for it;
+   * returns false if neither is possible.
+   */
   tryStartLoad(permit: StorePermit, now: Milliseconds): boolean {
     const [mostUrgent] = this.#listWanted(now);
     if (!mostUrgent) return false;
     const { adapterKey, customer } = mostUrgent;
     const { loadShares } = this.#context.options;
-    const isFree = this.slots.countFreeSlots() > this.#nextLoads.size;
-    if (isFree) {
+    const hasFreeSlot = this.slots.countFreeSlots() > this.#nextLoads.size;
+    if (hasFreeSlot) {
       loadShares.recordUse(customer, 1, now);
       this.#permits.set(adapterKey, permit);
       this.slots.addLoading(adapterKey, now);
@@ -91,28 +106,30 @@
     return true;
   }
 
-  /** Records the end of an eviction and orders the load that it made room for. */
+  /**
+   * Records the result of an eviction and orders the load that waited for it.
+   */
   recordEvictionEnd(
     adapterKey: string,
     result: OrderResult,
     now: Milliseconds,
   ): void {
     this.applyOrderResult(adapterKey, result, now);
-    const planned = this.#nextLoads.get(adapterKey);
-    if (!planned) return;
+    const nextLoad = this.#nextLoads.get(adapterKey);
+    if (!nextLoad) return;
     this.#nextLoads.delete(adapterKey);
     const canLoad = result.kind === "done" && this.slots.hasFreeSlot() &&
-      this.slots.getSlot(planned.adapterKey) === undefined;
+      this.slots.getSlot(nextLoad.adapterKey) === undefined;
     if (!canLoad) {
-      this.#context.options.store.returnPermit(planned.permit, false);
+      this.#context.options.store.returnPermit(nextLoad.permit, false);
       return;
     }
-    this.#permits.set(planned.adapterKey, planned.permit);
-    this.slots.addLoading(planned.adapterKey, now);
-    this.#giveOrder({ kind: "load", adapterKey: planned.adapterKey }, now);
+    this.#permits.set(nextLoad.adapterKey, nextLoad.permit);
+    this.slots.addLoading(nextLoad.adapterKey, now);
+    this.#giveOrder({ kind: "load", adapterKey: nextLoad.adapterKey }, now);
   }
 
-  /** Gives back every permit, when the upstream is given up. */
+  /** Returns every permit, when the ownership ends. */
   returnPermits(): void {
     const { store } = this.#context.options;
     for (const { permit } of this.#nextLoads.values()) {
@@ -125,7 +142,7 @@
     this.#permits.clear();
   }
 
-  /** Records the end of a load; returns whether it failed. */
+  /** Records the result of a load; returns whether it failed. */
   recordLoadEnd(
     adapterKey: string,
     result: OrderResult,
@@ -164,7 +181,9 @@
     }
   }
 
-  /** An upstream that restarted holds nothing. */
+  /**
+   * Records that the upstream has restarted, after which no adapter is loaded.
+   */
   recordRestart(now: Milliseconds): void {
     for (const slot of this.slots.getByState("resident")) {
       this.#context.options.popularity.recordEviction(slot.adapterKey);
@@ -181,7 +200,10 @@
     return false;
   }
 
-  /** Returns the time until the request's adapter would be resident; 0 when it has a slot. */
+  /**
+   * Estimates the time until the request's adapter is resident; 0 if it has a
+   * slot.
+   */
   estimateLoadWaitMs(
     request: LeaseRequestMessage,
     now: Milliseconds,
@@ -196,12 +218,15 @@
     );
     return store.estimateWaitMs(
       loadsAhead.length,
-      { isOverShare: isOverShare },
+      { isOverShare },
       now,
     );
   }
 
-  /** Returns the adapters that are loading or wait for their load. */
+  /**
+   * Returns the adapters that are being loaded or that queued requests wait
+   * for.
+   */
   listPendingLoads(): string[] {
     const pending = new Set(
       this.slots.getByState("loading").map((slot) => slot.adapterKey),
@@ -213,8 +238,9 @@
   }
 
   /**
-   * Returns the worth of the resident that one more load would evict, after
-   * the loads that are waited for have taken what is worth less; 0 with a free slot.
+   * Returns the value of the adapter that one more load would evict, after the
+   * loads already waiting have evicted those of less value; 0 if a slot is
+   * left.
    */
   getVictimValue(now: Milliseconds): number {
     const loadsAhead = this.#listWanted(now).length + this.#nextLoads.size -
@@ -232,7 +258,10 @@
     return policy.computeWorth(slot, popularity, now);
   }
 
-  /** Returns the adapters that requests wait for and that have no slot, most urgent first. */
+  /**
+   * Returns the loads that requests wait for, most urgent first, without those
+   * that wait for an eviction or would come too late.
+   */
   #listWanted(now: Milliseconds): WantedLoad[] {
     const planned = new Set<string>();
     for (const plan of this.#nextLoads.values()) planned.add(plan.adapterKey);
@@ -262,7 +291,10 @@
     ).length;
   }
 
-  /** Returns the resident adapter of least value that is certainly not in use. */
+  /**
+   * Returns the resident adapter of least value that no request waits for and
+   * that is certainly not in use.
+   */
   #findVictim(now: Milliseconds): string | undefined {
     const wanted = this.#parts.queue.getAdapterKeys();
     let victim: string | undefined;
@@ -278,7 +310,7 @@
     return victim;
   }
 
-  /** Returns whether no run on the adapter can be going on or start. */
+  /** Returns whether no run on the adapter can be in progress or start. */
   #isEvictable(adapterKey: string, now: Milliseconds): boolean {
     return !this.#parts.leases.hasLeases(adapterKey) &&
       this.#parts.claim.hasNoPredecessorRunOn(adapterKey, now);
@@ -292,7 +324,10 @@
   }
 }
 
-/** Weighs a waiting request by its room, its priority and the time left to its deadline. */
+/**
+ * Weighs a waiting request by its credits, its priority and the time to its
+ * deadline.
+ */
 function computeUrgency(
   request: LeaseRequestMessage,
   slackMs: Milliseconds,
--- a/src/core/residency/slot_table.ts
+++ b/src/core/residency/slot_table.ts
@@ -10,16 +10,22 @@
   adapterKey: string;
   state: SlotState;
   changedAt: Milliseconds;
-  /** When a run on the adapter was last permitted or its load ordered. */
+  /**
+   * When a request for the adapter was last considered for a grant, or its load
+   * ordered.
+   */
   lastUsedAt: Milliseconds;
-  /** Time of the last reading of the upstream at which a lease was out. */
+  /** When the upstream's state was last read while the adapter was leased. */
   lastLeasedAt: Milliseconds;
 }
 
 export class SlotTable {
   #capacity: number;
   readonly #slots = new Map<string, Slot>();
-  /** When adapters were freed, until a later reading has shown it. */
+  /**
+   * When adapters left their slots, until a reading that started later is
+   * reconciled; an earlier one may still report them.
+   */
   readonly #freedAt = new Map<string, Milliseconds>();
 
   constructor(capacity: number) {
@@ -46,7 +52,7 @@
     return Math.max(0, this.#capacity - this.#slots.size);
   }
 
-  /** Takes a free slot for an adapter whose load is ordered. */
+  /** Assigns a free slot to an adapter whose load is ordered. */
   addLoading(adapterKey: string, now: Milliseconds): void {
     this.#slots.set(adapterKey, {
       adapterKey,
@@ -57,7 +63,10 @@
     });
   }
 
-  /** Moves the slot along its chart; a trigger that its state does not take changes nothing. */
+  /**
+   * Applies a trigger to the slot's state machine; one that its state does not
+   * accept changes nothing.
+   */
   applyTrigger(
     adapterKey: string,
     trigger: SlotTrigger,
@@ -81,8 +90,8 @@
   }
 
   /**
-   * Brings the slots in line with a reading that began at `readAt`. Returns
-   * whether it shows a change that no order of this owner explains.
+   * Reconciles the slots with a reading that started at `readAt`. Returns
+   * whether it shows a change that this owner did not order.
    */
   reconcile(
     state: UpstreamStateStructure,
--- a/src/core/residency/store_coordinator.ts
+++ b/src/core/residency/store_coordinator.ts
@@ -1,9 +1,10 @@
 /**
- * Keeps one failure domain's part of the weight store's budget. One daemon of
- * the domain does this; it gives out a permit for each load, and lends what
- * its domain does not use to the keepers of other domains, permit by permit.
- * A permit counts against the domain that gave it until it is returned or its
- * lifetime ends, so domains that are cut off never exceed the store together.
+ * Issues the permits for loads from the weight store within one failure
+ * domain's share of the store's limits. One daemon of the domain runs it.
+ * Permits that its domain does not use are lent one by one to the coordinators
+ * of other domains. A permit counts against the domain that issued it until it
+ * is returned or expires, so that domains cut off from each other never exceed
+ * the store's limits together.
  */
 import type { Effect } from "../effects.ts";
 import type {
@@ -13,7 +14,7 @@
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** A part of the weight store's budget. */
+/** A failure domain's share of the weight store's limits. */
 export interface StoreShare {
   loadsPerSecond: number;
   loadsInFlight: number;
@@ -22,9 +23,9 @@
 export interface StoreCoordinatorOptions {
   selfId: string;
   failureDomain: string;
-  /** Time after which a permit counts as over though it was not returned. */
+  /** Time after which a permit that was not returned expires. */
   permitLifetimeMs: Milliseconds;
-  /** Time until the permits of the previous keeper are over. */
+  /** Time until the permits of the previous coordinator have expired. */
   startWaitMs: Milliseconds;
   emit: (effect: Effect) => void;
   createId: (prefix: string) => string;
@@ -36,20 +37,22 @@
   receivedAt: Milliseconds;
 }
 
-/** Starts that may be saved up, as a span of the rate. */
+/** Burst size of the token bucket, in seconds at the domain's rate. */
 const BURST_SECONDS = 1;
 /** Time after which a demand that is not repeated is dropped. */
 const DEMAND_LIFETIME_MS = 1_000;
-/** Time between two demands to the same lenders. */
+/**
+ * Time between two demands to the same lenders, unless the demand has grown.
+ */
 const BORROW_INTERVAL_MS = 100;
-/** Span over which the rate of permits is measured. */
+/** Window over which the rate of permits is measured. */
 const RATE_SPAN_MS = 3_000;
 
 export class StoreCoordinator {
   readonly #options: StoreCoordinatorOptions;
   readonly #startedAt: Milliseconds;
   readonly #demands = new Map<string, Demand>();
-  /** Demands of other failure domains, by the keeper that sends them. */
+  /** Demands of other failure domains, by the coordinator that sends them. */
   readonly #loanDemands = new Map<string, Demand>();
   readonly #permits = new Map<string, Milliseconds>();
   readonly #grantedAt: Milliseconds[] = [];
@@ -74,7 +77,10 @@
     this.#share = share;
   }
 
-  /** Takes what a daemon of the domain, or the keeper of another one, wants to load. */
+  /**
+   * Records the demand of a daemon of the domain or of another domain's
+   * coordinator.
+   */
   recordDemand(
     from: string,
     message: StoreDemandMessage,
@@ -89,7 +95,10 @@
     if (isOwn) this.#sendStatus(from, now);
   }
 
-  /** Passes a borrowed permit on to the daemon that needs it most. */
+  /**
+   * Forwards a borrowed permit to the daemon of the most urgent demand, or
+   * returns it unused if there is none.
+   */
   acceptLoan(permit: StorePermitMessage, now: Milliseconds): void {
     const to = findMostUrgent(this.#demands);
     if (to === undefined) {
@@ -105,14 +114,17 @@
     this.#send(to, permit);
   }
 
-  /** Ends a permit; one that was not used may be given again. */
+  /** Records the return of a permit; an unused one may be issued again. */
   recordReturn(message: StorePermitReturnMessage, now: Milliseconds): void {
     if (!this.#permits.delete(message.permitId)) return;
     if (!message.wasUsed) this.#tokens += 1;
     this.#issuePermits(now);
   }
 
-  /** Lets time pass; asks the lenders for what this domain cannot give. */
+  /**
+   * Drops expired demands and permits, issues permits, and asks the lenders for
+   * those that this domain cannot issue.
+   */
   tick(lenders: readonly string[], now: Milliseconds): void {
     dropExpired(this.#demands, now);
     dropExpired(this.#loanDemands, now);
@@ -144,7 +156,10 @@
     }
   }
 
-  /** Nothing is given while loads that the previous keeper permitted may go on. */
+  /**
+   * Returns whether a permit can be issued. None is while loads permitted by
+   * the previous coordinator may be in progress.
+   */
   #canIssue(now: Milliseconds): boolean {
     return now - this.#startedAt >= this.#options.startWaitMs &&
       this.#tokens >= 1 && this.#permits.size < this.#share.loadsInFlight;
--- a/src/core/residency/store_permit_client.ts
+++ b/src/core/residency/store_permit_client.ts
@@ -1,7 +1,8 @@
 /**
- * One daemon's access to the weight store: asks the keeper of its failure
- * domain for permits, gives back what it took, and is that keeper itself when
- * the live daemons of the domain rank it first.
+ * One daemon's access to the weight store: requests permits to load adapters
+ * from the store coordinator of its failure domain and returns them. The daemon
+ * runs the coordinator itself if membership selects it among the daemons of the
+ * domain that are alive.
  */
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
@@ -29,24 +30,27 @@
 /** A permit to start one load. */
 export interface StorePermit {
   permitId: string;
-  /** Keeper to which the permit is returned. */
+  /** Coordinator that issued the permit and to which it is returned. */
   lenderId: string;
 }
 
-/** What a daemon wants to load. */
+/** Loads for which a daemon needs permits. */
 export interface StoreDemand {
   loads: number;
   /** Urgency of the most urgent load. */
   urgency: number;
 }
 
-/** Undisturbed loads that fit into the lifetime of a permit. */
+/** Lifetime of a permit, as a multiple of the time of an undisturbed load. */
 const PERMIT_LIFETIME_LOADS = 8;
 /** Time after which an unmet demand is sent again. */
 const DEMAND_INTERVAL_MS = 250;
-/** Age beyond which the keeper's report is not used. */
+/** Age beyond which the coordinator's status is not used. */
 const STATUS_LIFETIME_MS = 1_000;
-/** Change of urgency that is worth a message, as a factor. */
+/**
+ * Factor by which the urgency has to rise for the demand to be sent again
+ * early.
+ */
 const MIN_URGENCY_RATIO = 1.5;
 
 export class StorePermitClient {
@@ -63,7 +67,7 @@
     this.#ids = new IdSource(options);
   }
 
-  /** Becomes or ceases to be the keeper as membership changes. */
+  /** Starts or stops the coordinator on this daemon as membership changes. */
   tick(now: Milliseconds): void {
     const { membership, selfId, failureDomain, emit } = this.#options;
     const coordinatorId = membership.getStoreKeeperId(failureDomain);
@@ -89,7 +93,7 @@
     this.#coordinator.tick(membership.listOtherStoreKeeperIds(), now);
   }
 
-  /** Tells the keeper what this daemon wants to load, when that has changed. */
+  /** Sends the demand of this daemon to the coordinator, if it has changed. */
   updateDemand(demand: StoreDemand, now: Milliseconds): void {
     const { membership, failureDomain, emit } = this.#options;
     const to = membership.getStoreKeeperId(failureDomain);
@@ -110,7 +114,10 @@
     this.#coordinator?.recordDemand(from, message, now);
   }
 
-  /** Takes a permit; returns undefined when it was borrowed for others of this domain. */
+  /**
+   * Accepts a permit. Returns undefined if another domain's coordinator has
+   * lent it to the coordinator here, which forwards it.
+   */
   acceptPermit(
     from: string,
     message: StorePermitMessage,
@@ -127,7 +134,7 @@
     return { permitId: message.permitId, lenderId: message.lenderId };
   }
 
-  /** Gives a permit back: after the load, or unused. */
+  /** Returns a permit to its coordinator, after the load or unused. */
   returnPermit(permit: StorePermit, wasUsed: boolean): void {
     this.#options.emit({
       kind: "send",
@@ -149,7 +156,10 @@
     this.#statusAt = now;
   }
 
-  /** Returns the time after which a load queued behind others here would be done. */
+  /**
+   * Estimates the time until a load is done that is queued behind others of
+   * this daemon.
+   */
   estimateWaitMs(
     queuedLoads: number,
     options: { isOverShare: boolean },
@@ -158,7 +168,8 @@
     const status = now - this.#statusAt <= STATUS_LIFETIME_MS
       ? this.#status
       : undefined;
-    // A load that yields to nobody goes before those that other daemons queue.
+    // A load for a customer within its share goes before those that other
+    // daemons have queued.
     const loadsAhead = options.isOverShare
       ? Math.max(queuedLoads, status?.waitingLoads ?? 0)
       : queuedLoads;
@@ -166,7 +177,9 @@
     return loadsAhead / rate * 1_000 + this.#options.settings.loadTimeMs;
   }
 
-  /** Returns the permits that this daemon has given as a keeper. */
+  /**
+   * Returns the number of permits in use that the coordinator here has issued.
+   */
   getInFlight(): number {
     return this.#coordinator?.getInFlight() ?? 0;
   }
@@ -183,17 +196,20 @@
       demand.urgency > sent.urgency * MIN_URGENCY_RATIO;
   }
 
-  /** Splits the store over the failure domains that have entry hosts. */
+  /**
+   * Computes the share of this failure domain. The limits of the store are
+   * split evenly over the domains that have entry hosts.
+   */
   #computeShare(): StoreShare {
     const { settings, membership, failureDomain } = this.#options;
     const domains = membership.listEntryDomains();
     const index = Math.max(0, domains.indexOf(failureDomain));
     const count = Math.max(1, domains.length);
-    const spare = settings.storeLoadsInFlight % count;
+    const remainder = settings.storeLoadsInFlight % count;
     return {
       loadsPerSecond: settings.storeLoadsPerSecond / count,
       loadsInFlight: Math.floor(settings.storeLoadsInFlight / count) +
-        (index < spare ? 1 : 0),
+        (index < remainder ? 1 : 0),
     };
   }
 
@@ -201,12 +217,16 @@
     return this.#options.settings.loadTimeMs * PERMIT_LIFETIME_LOADS;
   }
 
-  /** A previous keeper that is heard no more gave its last permit before its silence began. */
+  /**
+   * Returns how long permits of the previous coordinator may still be valid.
+   * One that is no longer alive issued its last permit before the silence by
+   * which it was found dead, so that this time counts towards the wait.
+   */
   #getStartWaitMs(): Milliseconds {
     const { membership, settings } = this.#options;
-    const isPreviousLive = this.#previousCoordinatorId !== undefined &&
+    const isPreviousAlive = this.#previousCoordinatorId !== undefined &&
       membership.isPeerLive(this.#previousCoordinatorId);
-    const silentMs = isPreviousLive
+    const silentMs = isPreviousAlive
       ? 0
       : settings.peerTimeoutMs * DEATH_AFTER_RATIO;
     return Math.max(0, this.#getPermitLifetimeMs() - silentMs);
--- a/src/core/residency/upstream_owner.ts
+++ b/src/core/residency/upstream_owner.ts
@@ -1,7 +1,7 @@
 /**
- * The owner of one upstream: keeps its slots, orders loads and evictions and
- * grants leases. An adapter is evicted only when no lease on it, granted here
- * or by an earlier owner, can still cover a run.
+ * The owner of one upstream: tracks its slots, orders loads and evictions and
+ * grants leases. An adapter is evicted only when no run on it, under a lease
+ * granted here or by a previous owner, can be in progress or start.
  */
 import type { OrderResult } from "../events.ts";
 import type {
@@ -128,14 +128,19 @@
     this.#serveQueue(now);
   }
 
-  /** Returns what this upstream wants of the weight store. */
+  /**
+   * Returns the loads from the weight store that this upstream's queue needs.
+   */
   computeDemand(now: Milliseconds): StoreDemand {
     return this.#context.isService() || !this.#canGrant(now)
       ? { loads: 0, urgency: 0 }
       : this.#loader.computeDemand(now);
   }
 
-  /** Starts the most urgent load under the permit; returns false when none can start. */
+  /**
+   * Starts the most urgent load under the permit; returns false if none can
+   * start.
+   */
   tryStartLoad(permit: StorePermit, now: Milliseconds): boolean {
     if (!this.#canGrant(now)) return false;
     this.#redirectWaiting(now);
@@ -157,18 +162,20 @@
     this.#serveQueue(now);
   }
 
-  /** Puts what the tables and the host list now say of the upstream in force. */
+  /** Applies a newer revision of the tables or of the host list. */
   updateConfiguration(configuration: UpstreamConfiguration): void {
     this.#context.updateConfiguration(configuration);
     this.#loader.slots.setCapacity(configuration.pool.slots);
   }
 
-  /** Notes that another daemon takes itself for the owner too. */
+  /** Records that another daemon considers itself the owner, too. */
   recordOtherOwner(now: Milliseconds): void {
     this.#claim.recordOtherOwner(now);
   }
 
-  /** Takes over the leases of the previous owner, which grants nothing any more. */
+  /**
+   * Takes over the leases of the previous owner, which has stopped granting.
+   */
   acceptHandover(handover: HandoverMessage, now: Milliseconds): void {
     this.#granter.acceptHandover(handover, now);
     this.#claim.acceptHandover(handover, now);
@@ -186,7 +193,9 @@
     };
   }
 
-  /** Refuses all that waits, before ownership is given up. */
+  /**
+   * Refuses the queued requests and returns the permits, before ownership ends.
+   */
   release(reason: LeaseRefusalReason, now: Milliseconds): void {
     this.#refuseAll(reason, now);
     this.#orders.removeAll();
@@ -227,7 +236,10 @@
     this.#refuseAll(LeaseRefusalReason.UpstreamDown, now);
   }
 
-  /** Records the end of an order; returns false when it was not given here. */
+  /**
+   * Records the result of an order; returns false if this owner did not give
+   * it.
+   */
   recordOrderEnd(
     orderId: string,
     result: OrderResult,
@@ -255,7 +267,10 @@
     return true;
   }
 
-  /** Reads the state when due, drops what has expired and serves the queue. */
+  /**
+   * Reads the upstream's state when due, drops expired leases and requests, and
+   * serves the queue.
+   */
   tick(now: Milliseconds): void {
     this.#claim.tick(now);
     this.#granter.leases.dropExpired(now);
@@ -290,7 +305,10 @@
     };
   }
 
-  /** Returns whether runs are reported on an adapter on which no lease of this owner can have been. */
+  /**
+   * Returns whether the upstream reports runs on an adapter that this owner has
+   * not leased recently enough to explain them.
+   */
   #hasUnleasedRuns(state: UpstreamStateStructure, now: Milliseconds): boolean {
     const { settings } = this.#context.options;
     const maxReportDelayMs = settings.engineReportLagMs +
@@ -313,18 +331,21 @@
     if (isAbsent) loadShares.recordDemand(request.customer, now);
   }
 
-  /** Grants what can be granted and orders the loads that the rest waits for. */
+  /**
+   * Grants the queued requests that can be granted, and marks those that wait
+   * for a load.
+   */
   #serveQueue(now: Milliseconds): void {
     if (!this.#canGrant(now)) return;
     const { creditShares } = this.#context.options;
     const isOverShare = (customer: string) =>
       creditShares.isExceeding(customer, now);
     for (const waiting of this.#queue.getOrdered(isOverShare)) {
-      this.#serve(waiting, now);
+      this.#serveRequest(waiting, now);
     }
   }
 
-  #serve(waiting: WaitingLeaseRequest, now: Milliseconds): void {
+  #serveRequest(waiting: WaitingLeaseRequest, now: Milliseconds): void {
     const hasNoPredecessorRun = this.#claim.hasNoPredecessorRun(now);
     if (this.#context.isService()) {
       this.#granter.tryGrant(waiting, hasNoPredecessorRun, now);
@@ -337,12 +358,15 @@
     } else if (slot?.state !== "evicting") waiting.hasWaitedForLoad = true;
   }
 
-  /** Returns the upstream to which a request for an absent adapter is sent on. */
+  /**
+   * Returns the upstream to which a request for an adapter without a slot is
+   * redirected.
+   */
   #findRedirectTarget(request: LeaseRequestMessage): string | undefined {
-    const { policy, findRedirectTarget: findElsewhere } = this.#context.options;
+    const { policy, findRedirectTarget } = this.#context.options;
     const isLocal = !policy.redirects || this.#context.isService() ||
       request.isCopy || this.#loader.slots.getSlot(request.adapterKey);
-    return isLocal ? undefined : findElsewhere(request.adapterKey);
+    return isLocal ? undefined : findRedirectTarget(request.adapterKey);
   }
 
   #redirectWaiting(now: Milliseconds): void {
@@ -369,7 +393,10 @@
       this.#reader.isCurrent(now);
   }
 
-  /** An upstream that restarted runs nothing and holds nothing. */
+  /**
+   * Drops leases and residents: an upstream that has restarted has no runs and
+   * no adapters.
+   */
   #handleRestart(now: Milliseconds): void {
     this.#granter.leases.dropAll();
     this.#loader.recordRestart(now);
--- a/src/core/residency/upstream_reader.ts
+++ b/src/core/residency/upstream_reader.ts
@@ -1,4 +1,7 @@
-/** Readings of one upstream's state, and whether they show it up. */
+/**
+ * Reads the state of one upstream periodically, and decides from that whether
+ * it is up.
+ */
 import type { Milliseconds, UpstreamStateStructure } from "../structures.ts";
 import type { OwnerContext } from "./owner_context.ts";
 
@@ -8,7 +11,7 @@
   readAt: Milliseconds;
 }
 
-/** Readings that may fail in a row before the upstream counts as down. */
+/** Consecutive failed readings at which the upstream counts as down. */
 const MAX_READ_FAILURES = 2;
 
 export class UpstreamReader {
@@ -39,13 +42,19 @@
       this.#reading?.state.leaving === true;
   }
 
-  /** Returns whether the last reading is recent enough to grant and order by. */
+  /**
+   * Returns whether the last reading is recent enough to grant leases and order
+   * loads.
+   */
   isCurrent(now: Milliseconds): boolean {
     const age = now - (this.#reading?.readAt ?? Number.NEGATIVE_INFINITY);
     return age <= this.#context.options.settings.ownershipValidityMs;
   }
 
-  /** Returns the requests that the upstream last reported running on the adapter. */
+  /**
+   * Returns the requests that the upstream last reported running on the
+   * adapter.
+   */
   getInFlight(adapterKey: string): number {
     return this.#reading?.state.residents
       .find((entry) => entry.adapterKey === adapterKey)?.inFlight ?? 0;
@@ -69,7 +78,7 @@
     });
   }
 
-  /** Takes the state read; returns undefined for a reading that is not awaited. */
+  /** Records a reading; returns undefined if it is not the pending one. */
   recordState(
     readId: string,
     state: UpstreamStateStructure,
@@ -84,7 +93,10 @@
     return { reading, hasRestarted };
   }
 
-  /** Records a reading that failed; returns false for one that is not awaited. */
+  /**
+   * Records a failed reading; returns false if it is not the pending one. A
+   * refused connection shows at once that the upstream is down.
+   */
   recordReadFailure(readId: string, isRefused: boolean): boolean {
     if (this.#pendingRead?.readId !== readId) return false;
     this.#pendingRead = undefined;
--- a/src/core/routing/upstream_selector.ts
+++ b/src/core/routing/upstream_selector.ts
@@ -1,7 +1,8 @@
 /**
- * Ranks the upstreams of a pool for one adapter, by what their owners last
- * published: residents first, then upstreams that are loading it, then those
- * whose least valuable resident is worth least.
+ * Ranks the upstreams of a pool for one adapter by the digests that their
+ * owners last published. At equal load, upstreams on which the adapter is
+ * resident come first, then those that are loading it, then those that would
+ * evict the adapter of least value.
  */
 import { hashText } from "../hashing.ts";
 import type { UpstreamDigest } from "../messages.ts";
@@ -11,11 +12,11 @@
   host: HostStructure;
   ownerId: string;
   digest: UpstreamDigest;
-  /** Credits that this daemon has asked for or holds there. */
+  /** Credits that this daemon has requested or holds on the upstream. */
   localCredits: number;
 }
 
-/** How an upstream stands to an adapter. */
+/** Whether an adapter is loaded on an upstream. */
 export const Residency = {
   Resident: "resident",
   Loading: "loading",
@@ -26,34 +27,39 @@
 export interface RankedUpstream {
   candidate: UpstreamCandidate;
   residency: Residency;
-  /** Smaller is better. */
+  /** The lowest cost is best. */
   cost: number;
 }
 
-/** What a ranking is for. */
+/**
+ * What upstreams are ranked for: a pool and an adapter, as seen from a failure
+ * domain.
+ */
 export interface RankOptions {
   pool: PoolStructure;
   adapterKey: string;
   failureDomain: string;
 }
 
-/** Cost of a load, in batches of waiting. */
+/** Cost of a load, as a number of batches to wait for. */
 const LOAD_COST = 1.5;
-/** Cost of joining a load that another request has asked for. */
+/** Cost of waiting for a load that another request has caused. */
 const LOADING_COST = 0.5;
-/** Cost of each doubling of the victim's popularity. */
+/** Cost of each doubling of the value of the adapter to evict. */
 const VICTIM_COST = 0.3;
-/** Cost of another failure domain. */
+/** Cost of an upstream in another failure domain. */
 const OTHER_DOMAIN_COST = 0.01;
-/** Largest part of the cost that ties are broken by. */
+/** Maximum of the hash-based cost that breaks ties. */
 const MAX_TIE_BREAKER_COST = 0.005;
-/** Filled share of a batch beyond which a run is expected to wait. */
+/** Fill ratio of a batch above which a run is expected to wait. */
 const TARGET_BATCH_FILL = 0.75;
-/** Cost of each batch beyond the target. */
+/** Cost of each batch above the target fill. */
 const OVERFILL_COST = 2;
-/** Cost of a batch that is filled up to the target, where load stalls alone count. */
+/** Cost per batch up to the target fill, if only load stalls have a weight. */
 const SPREAD_COST = 0.4;
-/** Gain of a batch that is filled up to the target, where batches alone count. */
+/**
+ * Gain per batch up to the target fill, if only batch efficiency has a weight.
+ */
 const PACK_GAIN = 2;
 
 /** Returns the candidates by ascending cost of running the adapter there. */
@@ -92,7 +98,10 @@
   };
 }
 
-/** Spreads runs, or packs them up to the target, as the pool weighs stalls against batches. */
+/**
+ * Returns a cost that spreads runs, or packs them up to the target fill,
+ * depending on the pool's weights of load stalls and batch efficiency.
+ */
 function computeFillCost(fill: number, pool: PoolStructure): number {
   const { loadStallWeight, batchEfficiencyWeight } = pool;
   const weights = Math.max(1e-9, loadStallWeight + batchEfficiencyWeight);
@@ -103,7 +112,11 @@
     (fill - TARGET_BATCH_FILL) * OVERFILL_COST;
 }
 
-/** Returns how the upstream, as its owner last published it, stands to the adapter. */
+/**
+ * Returns whether the adapter is loaded, by the last published digest of the
+ * upstream. Requests to plain services, which have no adapter, count as
+ * resident.
+ */
 export function findResidency(
   digest: UpstreamDigest,
   adapterKey: string,
@@ -116,7 +129,10 @@
     : Residency.Absent;
 }
 
-/** For a load, prefers the upstream whose victim is worth least. */
+/**
+ * Returns the cost of having the adapter loaded; that of a load rises with the
+ * value of the adapter to evict.
+ */
 function computeResidencyCost(
   residency: Residency,
   digest: UpstreamDigest,
--- a/src/core/routing/upstream_shortlist.ts
+++ b/src/core/routing/upstream_shortlist.ts
@@ -1,20 +1,21 @@
 /**
  * Chooses which upstreams of a large pool are ranked for a request: those that
- * hold the adapter, and a few others by hash, so that a decision does not cost
- * more as the pool grows. The same key gives the same few at every daemon.
+ * have the adapter, and a fixed number of others by hash, so that the cost of a
+ * decision does not grow with the pool. A key selects the same upstreams in
+ * every daemon.
  */
 import { hashText } from "../hashing.ts";
 import type { HostStructure } from "../structures.ts";
 
-/** Pools up to this size are ranked whole. */
+/** Size up to which all upstreams of a pool are ranked. */
 const MAX_FULLY_RANKED_POOL = 32;
-/** Upstreams drawn by hash. */
+/** Number of upstreams selected by hash. */
 const SAMPLED_UPSTREAMS = 16;
 
 export interface ShortlistOptions {
   /** Upstreams on which the adapter is resident or being loaded. */
   adapterUpstreamIds: ReadonlySet<string>;
-  /** Adapter, or for plain services the request. */
+  /** Key of the adapter, or identifier of the request for plain services. */
   key: string;
   /** Returns the upstream if the pool selects it. */
   getPoolHost: (id: string) => HostStructure | undefined;
--- a/test/core/residency/adapter_popularity_test.ts
+++ b/test/core/residency/adapter_popularity_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import { AdapterPopularity } from "../../../src/core/residency/adapter_popularity.ts";
 
-test("the history of an evicted adapter is known where it is loaded next", () => {
+test("a peer takes over the score of an evicted adapter", () => {
   const former = new AdapterPopularity();
   const next = new AdapterPopularity();
   former.recordRequests("salmon@1", 5, 0);
@@ -11,14 +11,14 @@
   assert.ok(Math.abs(next.getScore("salmon@1", 100) - 5) < 0.01);
 });
 
-test("a peer's lower count changes nothing", () => {
+test("a lower score from a peer changes nothing", () => {
   const popularity = new AdapterPopularity();
   popularity.recordRequests("salmon@1", 5, 0);
   popularity.mergeEvictions([{ adapterKey: "salmon@1", score: 2 }], 0);
   assert.is(popularity.getScore("salmon@1", 0), 5);
 });
 
-test("an eviction is told once", () => {
+test("an eviction is returned only once", () => {
   const popularity = new AdapterPopularity();
   popularity.recordRequests("salmon@1", 5, 0);
   popularity.recordEviction("salmon@1");
--- a/test/core/residency/granted_leases_test.ts
+++ b/test/core/residency/granted_leases_test.ts
@@ -20,47 +20,47 @@
   };
 }
 
-test("counts a repeated return once", () => {
-  const ledger = new GrantedLeases();
-  ledger.addLease(createLease());
-  ledger.returnCredits("lease-1", 1);
-  ledger.returnCredits("lease-1", 1);
-  assert.ok(ledger.hasLeases("briefing@v1"));
-  assert.is(ledger.getCreditsInUse(), 1);
+test("counts a duplicate return once", () => {
+  const leases = new GrantedLeases();
+  leases.addLease(createLease());
+  leases.returnCredits("lease-1", 1);
+  leases.returnCredits("lease-1", 1);
+  assert.ok(leases.hasLeases("briefing@v1"));
+  assert.is(leases.getCreditsInUse(), 1);
 });
 
-test("takes returns that come out of order", () => {
-  const ledger = new GrantedLeases();
-  ledger.addLease(createLease());
-  ledger.returnCredits("lease-1", 2);
-  ledger.returnCredits("lease-1", 1);
-  assert.not(ledger.hasLeases("briefing@v1"));
-  assert.is(ledger.getCreditsInUse(), 0);
+test("accepts returns that arrive out of order", () => {
+  const leases = new GrantedLeases();
+  leases.addLease(createLease());
+  leases.returnCredits("lease-1", 2);
+  leases.returnCredits("lease-1", 1);
+  assert.not(leases.hasLeases("briefing@v1"));
+  assert.is(leases.getCreditsInUse(), 0);
 });
 
-test("keeps a lease until window and longest run have passed", () => {
-  const ledger = new GrantedLeases();
-  ledger.addLease(createLease());
-  ledger.dropExpired(9_999);
-  assert.ok(ledger.hasLeases("briefing@v1"));
-  ledger.dropExpired(10_000);
-  assert.not(ledger.hasLeases("briefing@v1"));
+test("keeps a lease until its window and the maximum run time have passed", () => {
+  const leases = new GrantedLeases();
+  leases.addLease(createLease());
+  leases.dropExpired(9_999);
+  assert.ok(leases.hasLeases("briefing@v1"));
+  leases.dropExpired(10_000);
+  assert.not(leases.hasLeases("briefing@v1"));
 });
 
-test("believes an idle report only if it was read after window and lag", () => {
-  const ledger = new GrantedLeases();
-  ledger.addLease(createLease());
-  ledger.dropIdle("briefing@v1", 2_499, 500);
-  assert.ok(ledger.hasLeases("briefing@v1"));
-  ledger.dropIdle("briefing@v1", 2_500, 500);
-  assert.not(ledger.hasLeases("briefing@v1"));
+test("drops an idle lease only if the state was read after its window and the report lag", () => {
+  const leases = new GrantedLeases();
+  leases.addLease(createLease());
+  leases.dropIdle("briefing@v1", 2_499, 500);
+  assert.ok(leases.hasLeases("briefing@v1"));
+  leases.dropIdle("briefing@v1", 2_500, 500);
+  assert.not(leases.hasLeases("briefing@v1"));
 });
 
-test("adds a lease that is handed over twice once", () => {
-  const ledger = new GrantedLeases();
-  ledger.addLease(createLease());
-  ledger.addLease(createLease());
-  assert.is(ledger.getCreditsInUse(), 2);
+test("adds a lease once if it is handed over twice", () => {
+  const leases = new GrantedLeases();
+  leases.addLease(createLease());
+  leases.addLease(createLease());
+  assert.is(leases.getCreditsInUse(), 2);
 });
 
 test.run();
--- a/test/core/residency/owned_upstreams_test.ts
+++ b/test/core/residency/owned_upstreams_test.ts
@@ -11,7 +11,7 @@
 
 const TICK_MS = 50;
 
-/** One daemon with one engine, whose loads are done by the next tick. */
+/** One daemon with one engine, which finishes each load by the next tick. */
 class LoneDaemon {
   readonly core: DaemonCore;
   readonly effects: Effect[] = [];
@@ -117,14 +117,14 @@
   }).unwrap();
 }
 
-test("puts an edited pool in force at the owner of its upstreams", () => {
+test("applies a changed pool at the owner of its upstreams", () => {
   const daemon = new LoneDaemon();
   daemon.publish(createTables(2, 3));
   const [upstream] = daemon.core.describe(daemon.now).upstreams;
   assert.is(upstream?.batchSize, 3);
 });
 
-test("a planned stop of the last daemon still serves what it has accepted", () => {
+test("the last daemon still serves accepted requests during a planned stop", () => {
   const daemon = new LoneDaemon();
   daemon.apply(daemon.core.handle({
     kind: "requestArrived",
--- a/test/core/residency/ownership_claim_test.ts
+++ b/test/core/residency/ownership_claim_test.ts
@@ -16,7 +16,10 @@
   DEFAULT_CORE_SETTINGS.leaseWindowMs + DEFAULT_CORE_SETTINGS.leaseMarginMs +
   MAX_RUN_MS;
 
-/** Returns a claim on an engine that reports the fencing number, done at the time. */
+/**
+ * Returns a claim that succeeded at `claimedAt`, on an engine that had reported
+ * `reportedFencing`.
+ */
 function createClaim(
   selfId: string,
   options: {
@@ -72,7 +75,7 @@
   };
 }
 
-test("a handover passes on the wait for owners before the one that hands over", () => {
+test("a handover passes on the sender's wait for previous owners", () => {
   const first = createClaim("entry-1", { reportedFencing: 0, claimedAt: 0 });
   const second = createClaim("entry-2", {
     reportedFencing: first.fencing,
@@ -83,7 +86,7 @@
   assert.is(second.getEvictionAllowedInMs(300), PREDECESSOR_WAIT_MS - 200);
 });
 
-test("a direct handover without earlier owners lifts the wait", () => {
+test("a handover from the last owner ends the wait if that owner had none left", () => {
   const first = createClaim("entry-1", { reportedFencing: 0, claimedAt: 0 });
   const now = PREDECESSOR_WAIT_MS;
   const second = createClaim("entry-2", {
@@ -94,7 +97,7 @@
   assert.ok(second.hasNoPredecessorRunOn("briefing@v1", now));
 });
 
-test("a handover by a daemon that was not the last to claim lifts nothing", () => {
+test("a handover from a daemon that was not the last to claim does not shorten the wait", () => {
   const first = createClaim("entry-1", { reportedFencing: 0, claimedAt: 0 });
   const now = PREDECESSOR_WAIT_MS;
   const third = createClaim("entry-3", {
@@ -106,12 +109,12 @@
 });
 
 for (
-  const { fencing, isFree } of [
-    { fencing: "ignored", isFree: false },
-    { fencing: "checked", isFree: true },
+  const { fencing, isEvictable } of [
+    { fencing: "ignored", isEvictable: false },
+    { fencing: "checked", isEvictable: true },
   ] as const
 ) {
-  test(`another daemon that owns an upstream with fencing ${fencing} ${isFree ? "is left to the upstream" : "holds up evictions"}`, () => {
+  test(`another owner of an upstream with fencing ${fencing} ${isEvictable ? "does not delay evictions" : "delays evictions"}`, () => {
     const now = 2 * PREDECESSOR_WAIT_MS;
     const claim = createClaim("entry-1", {
       reportedFencing: 0,
@@ -119,7 +122,10 @@
       fencing,
     });
     claim.recordOtherOwner(now);
-    assert.is(claim.hasNoPredecessorRunOn("briefing@v1", now + 1_000), isFree);
+    assert.is(
+      claim.hasNoPredecessorRunOn("briefing@v1", now + 1_000),
+      isEvictable,
+    );
   });
 }
 
--- a/test/core/residency/pending_orders_test.ts
+++ b/test/core/residency/pending_orders_test.ts
@@ -3,7 +3,7 @@
 import { DEFAULT_CORE_SETTINGS } from "../../../src/core/core_settings.ts";
 import { LoneDaemon } from "../lone_daemon.ts";
 
-test("an order is void before another daemon could own the upstream", () => {
+test("an order expires before another daemon could own the upstream", () => {
   const daemon = new LoneDaemon(["engine-1"]);
   const before = daemon.effects.length;
   daemon.request("briefing");
--- a/test/core/residency/slot_table_test.ts
+++ b/test/core/residency/slot_table_test.ts
@@ -15,7 +15,7 @@
   };
 }
 
-test("a reading that began before an eviction does not bring the adapter back", () => {
+test("a reading started before an eviction does not restore the adapter", () => {
   const slots = new SlotTable(2);
   slots.reconcile(createState([ADAPTER]), 10, 20);
   slots.applyTrigger(ADAPTER, "evictOrdered", 30);
@@ -24,20 +24,20 @@
   assert.is(slots.getSlot(ADAPTER), undefined);
 });
 
-test("a later reading shows an adapter that somebody else loaded", () => {
+test("a reading with an adapter that this owner did not load is an external change", () => {
   const slots = new SlotTable(2);
   assert.ok(slots.reconcile(createState([ADAPTER]), 10, 20));
   assert.ok(slots.isResident(ADAPTER));
 });
 
-test("a later reading shows an adapter that somebody else evicted", () => {
+test("a reading without an adapter that this owner did not evict is an external change", () => {
   const slots = new SlotTable(2);
   slots.reconcile(createState([ADAPTER]), 10, 20);
   assert.ok(slots.reconcile(createState([]), 30, 40));
   assert.is(slots.getSlot(ADAPTER), undefined);
 });
 
-test("the end of an own order is no foreign change", () => {
+test("the result of the owner's own order is not an external change", () => {
   const slots = new SlotTable(2);
   slots.addLoading(ADAPTER, 10);
   slots.applyTrigger(ADAPTER, "orderDone", 20);
--- a/test/core/residency/store_coordinator_test.ts
+++ b/test/core/residency/store_coordinator_test.ts
@@ -10,15 +10,15 @@
 type Sent = Extract<Effect, { kind: "send" }>;
 
 function createCoordinator(): {
-  keeper: StoreCoordinator;
+  coordinator: StoreCoordinator;
   takePermits(): { to: string; permitId: string; lenderId: string }[];
   takeSent(): Sent[];
 } {
   const effects: Effect[] = [];
   let lastId = 0;
-  const keeper = new StoreCoordinator(
+  const coordinator = new StoreCoordinator(
     {
-      selfId: "keeper-a",
+      selfId: "coordinator-a",
       failureDomain: "a",
       permitLifetimeMs: LIFETIME_MS,
       startWaitMs: LIFETIME_MS,
@@ -33,7 +33,7 @@
       effect.kind === "send" ? [effect] : []
     );
   return {
-    keeper,
+    coordinator,
     takeSent,
     takePermits: () =>
       takeSent().flatMap(({ to, message }) =>
@@ -50,49 +50,49 @@
   return { kind: "storeDemand", loads, urgency, failureDomain };
 }
 
-test("a new keeper gives nothing while permits of an earlier one may be in use", () => {
-  const { keeper, takePermits } = createCoordinator();
-  keeper.recordDemand("d1", createDemand(1, 1), 0);
-  keeper.tick([], LIFETIME_MS / 2);
+test("a new coordinator issues no permit while those of the previous one may be in use", () => {
+  const { coordinator, takePermits } = createCoordinator();
+  coordinator.recordDemand("d1", createDemand(1, 1), 0);
+  coordinator.tick([], LIFETIME_MS / 2);
   assert.equal(takePermits(), []);
-  keeper.recordDemand("d1", createDemand(1, 1), LIFETIME_MS - 1);
-  keeper.tick([], LIFETIME_MS);
+  coordinator.recordDemand("d1", createDemand(1, 1), LIFETIME_MS - 1);
+  coordinator.tick([], LIFETIME_MS);
   assert.is(takePermits().length, 1);
 });
 
-test("permits go to the most urgent daemon, within rate and room", () => {
-  const { keeper, takePermits } = createCoordinator();
+test("permits go to the most urgent daemon, within the limits on rate and loads in flight", () => {
+  const { coordinator, takePermits } = createCoordinator();
   const now = 10_000;
-  keeper.recordDemand("d1", createDemand(5, 1), now);
+  coordinator.recordDemand("d1", createDemand(5, 1), now);
   assert.equal(takePermits().map(({ to }) => to), ["d1"]);
-  keeper.recordDemand("d2", createDemand(5, 9), now);
-  keeper.tick([], now + 999);
-  assert.equal(takePermits(), [], "the rate is one a second");
-  keeper.recordDemand("d1", createDemand(5, 1), now + 1_000);
-  keeper.recordDemand("d2", createDemand(5, 9), now + 1_000);
+  coordinator.recordDemand("d2", createDemand(5, 9), now);
+  coordinator.tick([], now + 999);
+  assert.equal(takePermits(), [], "the rate is one permit a second");
+  coordinator.recordDemand("d1", createDemand(5, 1), now + 1_000);
+  coordinator.recordDemand("d2", createDemand(5, 9), now + 1_000);
   assert.equal(takePermits().map(({ to }) => to), ["d2"]);
-  keeper.recordDemand("d2", createDemand(5, 9), now + 1_999);
-  keeper.tick([], now + 1_999);
-  assert.equal(takePermits(), [], "two are in flight");
+  coordinator.recordDemand("d2", createDemand(5, 9), now + 1_999);
+  coordinator.tick([], now + 1_999);
+  assert.equal(takePermits(), [], "two permits are in flight");
 });
 
-test("a permit that is never returned is over after its lifetime", () => {
-  const { keeper, takePermits } = createCoordinator();
+test("a permit that is never returned expires after its lifetime", () => {
+  const { coordinator, takePermits } = createCoordinator();
   for (const at of [10_000, 11_000]) {
-    keeper.recordDemand("d1", createDemand(1, 1), at);
+    coordinator.recordDemand("d1", createDemand(1, 1), at);
   }
   assert.is(takePermits().length, 2);
-  keeper.tick([], 10_000 + LIFETIME_MS);
-  assert.is(keeper.getInFlight(), 1);
+  coordinator.tick([], 10_000 + LIFETIME_MS);
+  assert.is(coordinator.getInFlight(), 1);
 });
 
-test("a permit returned unused may be given again at once", () => {
-  const { keeper, takePermits } = createCoordinator();
-  keeper.recordDemand("d1", createDemand(1, 1), 10_000);
+test("a permit returned unused is issued again at once", () => {
+  const { coordinator, takePermits } = createCoordinator();
+  coordinator.recordDemand("d1", createDemand(1, 1), 10_000);
   const [permit] = takePermits();
-  keeper.recordDemand("d2", createDemand(1, 1), 10_001);
+  coordinator.recordDemand("d2", createDemand(1, 1), 10_001);
   assert.equal(takePermits(), []);
-  keeper.recordReturn({
+  coordinator.recordReturn({
     kind: "storePermitReturn",
     permitId: permit?.permitId ?? "",
     wasUsed: false,
@@ -100,39 +100,39 @@
   assert.equal(takePermits().map(({ to }) => to), ["d2"]);
 });
 
-test("another domain is lent only what this one does not want", () => {
-  const { keeper, takePermits } = createCoordinator();
-  keeper.tick([], 10_000);
-  keeper.recordDemand("keeper-b", createDemand(3, 100, "b"), 10_000);
-  assert.equal(takePermits().map(({ to }) => to), ["keeper-b"]);
-  keeper.recordDemand("d1", createDemand(1, 1), 10_500);
-  keeper.recordDemand("keeper-b", createDemand(3, 100, "b"), 10_500);
-  keeper.tick([], 11_000);
+test("permits are lent to another domain only while no daemon of this one demands them", () => {
+  const { coordinator, takePermits } = createCoordinator();
+  coordinator.tick([], 10_000);
+  coordinator.recordDemand("coordinator-b", createDemand(3, 100, "b"), 10_000);
+  assert.equal(takePermits().map(({ to }) => to), ["coordinator-b"]);
+  coordinator.recordDemand("d1", createDemand(1, 1), 10_500);
+  coordinator.recordDemand("coordinator-b", createDemand(3, 100, "b"), 10_500);
+  coordinator.tick([], 11_000);
   assert.equal(takePermits().map(({ to }) => to), ["d1"]);
 });
 
-test("unmet demand is sent to the lenders, and a loan to who needs it most", () => {
-  const { keeper, takeSent } = createCoordinator();
-  keeper.recordDemand("d1", createDemand(1, 1), 0);
-  keeper.recordDemand("d2", createDemand(1, 5), 0);
+test("unmet demand is sent to the lenders, and a borrowed permit to the most urgent daemon", () => {
+  const { coordinator, takeSent } = createCoordinator();
+  coordinator.recordDemand("d1", createDemand(1, 1), 0);
+  coordinator.recordDemand("d2", createDemand(1, 5), 0);
   takeSent();
-  keeper.tick(["keeper-b"], 10);
-  const [asked] = takeSent();
-  assert.is(asked?.to, "keeper-b");
-  assert.equal(asked?.message, createDemand(2, 5));
+  coordinator.tick(["coordinator-b"], 10);
+  const [sent] = takeSent();
+  assert.is(sent?.to, "coordinator-b");
+  assert.equal(sent?.message, createDemand(2, 5));
   const loan = {
     kind: "storePermit",
     permitId: "p1",
-    lenderId: "keeper-b",
+    lenderId: "coordinator-b",
   } as const;
-  keeper.acceptLoan(loan, 20);
+  coordinator.acceptLoan(loan, 20);
   assert.equal(takeSent(), [{ kind: "send", to: "d2", message: loan }]);
-  keeper.acceptLoan(loan, 30);
+  coordinator.acceptLoan(loan, 30);
   takeSent();
-  keeper.acceptLoan(loan, 40);
+  coordinator.acceptLoan(loan, 40);
   assert.equal(takeSent(), [{
     kind: "send",
-    to: "keeper-b",
+    to: "coordinator-b",
     message: { kind: "storePermitReturn", permitId: "p1", wasUsed: false },
   }]);
 });
--- a/test/core/residency/unleased_runs_test.ts
+++ b/test/core/residency/unleased_runs_test.ts
@@ -2,10 +2,12 @@
 import * as assert from "uvu/assert";
 import { LoneDaemon } from "../lone_daemon.ts";
 
-/** Time after which an owner that saw nothing of a rival may evict. */
+/**
+ * Time after which an owner that has seen no sign of another owner may evict.
+ */
 const LONG_AGO_MS = 120_000;
 
-test("runs that no lease of the owner permits hold up evictions where fencing is ignored", () => {
+test("runs without a lease of the owner delay evictions where fencing is ignored", () => {
   const daemon = new LoneDaemon(["engine-1"]);
   const state = daemon.states.get("engine-1");
   state?.residents.push({ adapterKey: "other@v1", inFlight: 0 });
--- a/test/core/routing/upstream_selector_test.ts
+++ b/test/core/routing/upstream_selector_test.ts
@@ -61,7 +61,7 @@
   }).map(({ candidate }) => candidate.host.id);
 }
 
-test("an upstream that has the adapter goes before one that loads it, and that before others", () => {
+test("an upstream with the adapter ranks before one that is loading it, and that before others", () => {
   assert.equal(
     rankIds([
       createCandidate("absent"),
@@ -72,7 +72,7 @@
   );
 });
 
-test("a further copy is made when the wait exceeds that of a load", () => {
+test("an upstream without the adapter ranks first when waiting costs more than a load", () => {
   const resident = createCandidate("resident", {
     residents: [ADAPTER],
     creditsInUse: 8,
@@ -83,7 +83,7 @@
   assert.is(rankIds([resident, costly])[0], "resident");
 });
 
-test("a cold adapter goes where the victim is worth least", () => {
+test("an adapter that is not loaded goes to the upstream whose victim has the lowest value", () => {
   assert.is(
     rankIds([
       createCandidate("dear", { victimValue: 8 }),
@@ -99,14 +99,14 @@
 });
 const EMPTIER = createCandidate("emptier", { residents: [ADAPTER] });
 
-test("runs are packed where batches count more, and spread where stalls do", () => {
+test("runs are packed if batch efficiency has more weight, and spread if load stalls have", () => {
   const packs = { loadStallWeight: 1, batchEfficiencyWeight: 3 };
   const spreads = { loadStallWeight: 3, batchEfficiencyWeight: 1 };
   assert.is(rankIds([FULLER, EMPTIER], packs)[0], "fuller");
   assert.is(rankIds([FULLER, EMPTIER], spreads)[0], "emptier");
 });
 
-test("nothing is packed beyond three quarters of a batch", () => {
+test("runs are not packed beyond three quarters of a batch", () => {
   const full = createCandidate("full", {
     residents: [ADAPTER],
     creditsInUse: 8,
--- a/test/core/routing/upstream_shortlist_test.ts
+++ b/test/core/routing/upstream_shortlist_test.ts
@@ -27,7 +27,7 @@
   })].map((host) => host.id);
 }
 
-test("ranks a small pool whole", () => {
+test("lists every upstream of a small pool", () => {
   assert.is(shortlist(createHosts(32), "briefing@v1").length, 32);
 });
 
@@ -37,14 +37,14 @@
   }
 });
 
-test("always has the upstreams that hold the adapter", () => {
-  const holders = ["engine-7", "engine-99"];
-  const listed = shortlist(createHosts(100), "briefing@v1", holders);
-  for (const holder of holders) assert.ok(listed.includes(holder));
+test("always lists the upstreams that have the adapter", () => {
+  const upstreamIds = ["engine-7", "engine-99"];
+  const listed = shortlist(createHosts(100), "briefing@v1", upstreamIds);
+  for (const holder of upstreamIds) assert.ok(listed.includes(holder));
   assert.is(new Set(listed).size, listed.length);
 });
 
-test("is the same at every daemon, and spreads over the pool by key", () => {
+test("is the same in every daemon, and spreads keys over the pool", () => {
   const hosts = createHosts(150);
   assert.equal(shortlist(hosts, "a@v1"), shortlist(hosts, "a@v1"));
   const seen = new Set(
