--- a/src/gateway/attempt_runner.ts
+++ b/src/gateway/attempt_runner.ts
@@ -1,7 +1,8 @@
 /**
  * Runs one attempt of a request at one upstream and classifies how it ended.
- * Pieces of a stream are passed on as they come; other answers are read whole
- * first, so that a broken one can still be replaced.
+ * Chunks of a stream are forwarded as they arrive. Any other response is
+ * buffered completely first, so that the request can still be retried when the
+ * response is incomplete.
  */
 import { Buffer } from "node:buffer";
 import type { IncomingMessage } from "node:http";
@@ -18,36 +19,43 @@
 import type { RequestContext } from "./request_context.ts";
 import type { AttemptEnd } from "./upstream_client.ts";
 
-/** Longest answer that is not a stream, by what callers may send (`max_body_bytes` of the users' configurations, 4 MB). */
+/**
+ * Maximum size of a buffered response: the size that callers' requests may have
+ * (`max_body_bytes` in the users' configurations, 4 MB).
+ */
 const MAX_RESPONSE_BYTES = 4 * 1024 * 1024;
 
-/** Memory of a piece beside its bytes, so that a flood of tiny chunks meets the bound too: a Buffer and its place in a list. */
+/**
+ * Memory that a buffered chunk takes besides its bytes: the Buffer object and
+ * its array element. Counted so that the bound also holds for a flood of tiny
+ * chunks.
+ */
 const CHUNK_OVERHEAD_BYTES = 128;
 
 export interface AttemptResult {
   outcome: AttemptOutcome;
   upstreamId: string;
-  /** Why it was not run, where the upstream says so. */
+  /** Why the upstream did not run the request; undefined unless it said so. */
   notRunReason: NotRunReason | undefined;
   status: number;
-  /** Whether its connection broke, as when the upstream died. */
+  /** Whether the connection broke, for example because the upstream died. */
   isConnectionBroken: boolean;
-  /** The whole answer; undefined when it was streamed or did not come. */
+  /** The complete response; undefined if it was streamed or never completed. */
   response: { status: number; rawHeaders: string[]; body: Buffer } | undefined;
   detail: string;
 }
 
-/** What follows from a piece of a stream. */
+/** What the attempt does after its sink was given a chunk. */
 export const SinkDecision = {
   Continue: "readOn",
-  /** The caller is slow: nothing more is read until `resume`. */
+  /** The caller reads slowly: stop reading from the upstream until `resume`. */
   Pause: "pause",
-  /** These bytes are no events. */
+  /** The bytes are not valid events: end the attempt. */
   Abort: "cut",
 } as const;
 export type SinkDecision = (typeof SinkDecision)[keyof typeof SinkDecision];
 
-/** Takes the pieces of a successful stream. */
+/** Receives the head and the chunks of a successful streamed response. */
 export interface StreamSink {
   start(status: number, rawHeaders: string[]): void;
   push(chunk: Buffer): SinkDecision;
@@ -58,19 +66,19 @@
   upstream: PublishedUpstream;
   metadata: AttemptMetadata;
   mayReuseConnection: boolean;
-  /** Time without a head after which the attempt is given up. */
+  /** Time limit for the response head to arrive. */
   responseHeaderTimeoutMs: Milliseconds;
-  /** Set for streams. */
+  /** Receives a streamed response; undefined if the response is buffered. */
   sink: StreamSink | undefined;
-  /** Takes what a head that is this request's says of its upstream. */
+  /** Called with each response head that belongs to this request. */
   handleHead: (head: ResponseHead) => void;
 }
 
 export interface RunningAttempt {
   result: Promise<AttemptResult>;
-  /** Gives the attempt up and closes its connection. */
+  /** Ends the attempt and closes its connection. */
   cancel: () => void;
-  /** Reads on after a piece at which the sink paused. */
+  /** Continues reading after the sink returned `Pause`. */
   resume: () => void;
 }
 
@@ -78,14 +86,14 @@
   context: RequestContext,
   options: AttemptOptions,
 ): RunningAttempt {
-  const { exchange, upstream, metadata: metadata, sink } = options;
-  const { headerCodec: headerCodec } = context;
+  const { exchange, upstream, metadata, sink } = options;
+  const { headerCodec } = context;
   let head: ResponseHead | undefined;
   let rawHeaders: string[] = [];
   let isStreaming = false;
   let isConnectionBroken = false;
   const chunks: Buffer[] = [];
-  const { responseMemory: responseMemory } = context;
+  const { responseMemory } = context;
   const reservation = responseMemory.createReservation();
   let settle: (result: AttemptResult) => void = () => {};
   const result = new Promise<AttemptResult>((resolve) => settle = resolve);
@@ -103,7 +111,7 @@
       upstreamId: upstream.id,
       notRunReason: head?.notRunReason,
       status: head?.status ?? 0,
-      isConnectionBroken: isConnectionBroken,
+      isConnectionBroken,
       response: hasWholeResponse
         ? {
           status: head?.status ?? 0,
@@ -190,7 +198,8 @@
     case "notSent":
       return [AttemptOutcome.NotSent, end.detail];
     case "broken":
-      // A promise in the head holds, whatever became of the body.
+      // If the head said that the request was not run, this holds even though
+      // the body is incomplete.
       return head?.notRunReason !== undefined
         ? [AttemptOutcome.NotRun, end.detail]
         : [AttemptOutcome.Lost, end.detail];
@@ -205,7 +214,10 @@
   }
 }
 
-/** Returns what an attempt's end says of the upstream; undefined when it says nothing. */
+/**
+ * Returns what the end of an attempt implies for the upstream's health;
+ * undefined if it implies nothing.
+ */
 export function classifyHealth(
   result: AttemptResult,
 ): HealthSignal | undefined {
--- a/src/gateway/caller_exchange.ts
+++ b/src/gateway/caller_exchange.ts
@@ -1,11 +1,14 @@
-/** One caller's request with its body read, and the one answer that it gets. */
+/** One caller's request, whose body has been read, and its single response. */
 import { Buffer } from "node:buffer";
 import type { IncomingMessage, ServerResponse } from "node:http";
 import type { Milliseconds } from "../core/structures.ts";
 import { writeChunk } from "../daemon/chunk_writer.ts";
 import type { RequestMetadata } from "./ports.ts";
 
-/** Bytes written and not read by the caller beyond which its upstream is read no further: some thousand events. */
+/**
+ * Number of bytes written but not yet read by the caller above which reading
+ * from the upstream pauses: some thousand events.
+ */
 const WRITE_BUFFER_LIMIT_BYTES = 256 * 1024;
 
 export interface CallerExchangeOptions {
@@ -13,9 +16,11 @@
   response: ServerResponse;
   metadata: RequestMetadata;
   body: Buffer;
-  /** When the head of the request was read. */
+  /**
+   * When the head of the request was read, on the clock of `performance.now()`.
+   */
   arrivedAt: Milliseconds;
-  /** Whether the connection is to be closed after this answer. */
+  /** Returns whether the connection is to be closed after this response. */
   isClosing: () => boolean;
 }
 
@@ -50,7 +55,7 @@
     return this.#options.request.method ?? "GET";
   }
 
-  /** Path and query as sent. */
+  /** Path and query as the caller sent them. */
   get url(): string {
     return this.#options.request.url ?? "/";
   }
@@ -59,7 +64,7 @@
     return this.#options.request.rawHeaders;
   }
 
-  /** Whether the caller has closed its connection before the whole answer. */
+  /** Whether the caller disconnected before the response was complete. */
   get isDisconnected(): boolean {
     return this.#isDisconnected;
   }
@@ -68,13 +73,16 @@
     return this.#options.response.headersSent;
   }
 
-  /** Calls back when the caller leaves before the end. */
+  /**
+   * Sets the listener that is called if the caller disconnects before the
+   * response is complete. It is called at once if that has already happened.
+   */
   onDisconnect(listener: () => void): void {
     this.#disconnectListener = listener;
     if (this.#isDisconnected) listener();
   }
 
-  /** Answers with a whole body. */
+  /** Sends a response with a complete body. */
   sendResponse(
     status: number,
     rawHeaders: readonly string[],
@@ -90,7 +98,10 @@
     this.#options.response.end(body);
   }
 
-  /** Answers in the gateway's own name. */
+  /**
+   * Sends a response that the gateway makes itself: a JSON object with the
+   * error.
+   */
   sendError(
     status: number,
     rawHeaders: readonly string[],
@@ -101,7 +112,7 @@
     this.sendResponse(status, headers, body);
   }
 
-  /** Starts an answer whose pieces follow. */
+  /** Sends the head of a response whose chunks follow. */
   startStream(status: number, rawHeaders: readonly string[]): void {
     if (this.#isDisconnected || this.hasSentHeaders) return;
     this.#writeHead(status, stripContentLength(rawHeaders));
@@ -110,29 +121,33 @@
   write(chunk: Buffer): void {
     if (chunk.length === 0 || this.#isDisconnected) return;
     const { response } = this.#options;
-    // The head leaves with the first piece.
+    // Node.js sends the head together with the first chunk.
     if (this.#hasWritten) writeChunk(response, chunk);
     else response.write(chunk);
     this.#hasWritten = true;
   }
 
-  /** Whether the caller has so much left to read that no more should be written. */
+  /**
+   * Whether more bytes wait for the caller to read them than the limit allows.
+   */
   get isWriteBufferFull(): boolean {
     const { socket } = this.#options.response;
     return socket !== null && socket.writableLength > WRITE_BUFFER_LIMIT_BYTES;
   }
 
-  /** Calls back once when the caller has read what was written. */
+  /** Calls the listener once, when the caller has read what was written. */
   onDrain(listener: () => void): void {
     this.#options.response.socket?.once("drain", listener);
   }
 
-  /** Ends a streamed answer as complete. */
+  /** Ends a streamed response as complete. */
   end(): void {
     if (!this.#isDisconnected) this.#options.response.end();
   }
 
-  /** Closes the connection, so that the answer can't be taken for complete. */
+  /**
+   * Closes the connection, so that the caller sees the response as incomplete.
+   */
   abort(): void {
     this.#options.response.destroy();
   }
@@ -145,7 +160,10 @@
   }
 }
 
-/** The length of the body is set here, or left to chunks. */
+/**
+ * Removes Content-Length: it is set anew for a complete body, and a stream uses
+ * chunked transfer coding.
+ */
 function stripContentLength(rawHeaders: readonly string[]): string[] {
   const kept: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
--- a/src/gateway/caller_task.ts
+++ b/src/gateway/caller_task.ts
@@ -1,7 +1,8 @@
 /**
- * Owns the callers' port: reads requests whole, finds their route and starts
- * their flow. A stop takes no new connections' worth of work: answers close
- * their connections, idle ones are closed, and what was read is finished.
+ * Owns the HTTP server for callers: reads each request completely, finds its
+ * route and hands it to a RequestHandler. During a stop, responses announce the
+ * close of their connections, idle connections are closed, and requests that
+ * were accepted are finished.
  */
 import { createHash } from "node:crypto";
 import { Buffer } from "node:buffer";
@@ -20,19 +21,29 @@
 import type { RequestContext } from "./request_context.ts";
 import { RequestHandler } from "./request_handler.ts";
 
-/** Bounds before a configuration says otherwise. */
+/** Limits that apply until a configuration is known. */
 const DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024;
 const DEFAULT_HEADER_TIMEOUT_MS = 3_000;
 const DEFAULT_IDLE_TIMEOUT_MS = 15_000;
-/** Time for which an idle connection outlives the limit, so that a caller's last use does not cross its close. */
+/**
+ * Time for which an idle connection is kept beyond the configured limit, so
+ * that a caller that reuses it just within the limit does not send its request
+ * while the connection is being closed.
+ */
 const KEEP_ALIVE_MARGIN_MS = 500;
-/** Time for a body to come. */
+/** Time limit for a request to arrive completely. */
 const BODY_TIMEOUT_MS = 30_000;
-/** Time for a caller to read the refusal of a body that is too long, before its connection is cut. */
+/**
+ * Time given to a caller to read the refusal of an oversized body before its
+ * connection is closed.
+ */
 const OVERSIZED_BODY_LINGER_MS = 500;
-/** Return time for requests that come before a configuration is known. */
+/** Retry-After for requests that arrive before a configuration is known. */
 const UNCONFIGURED_RETRY_AFTER_MS = 500;
-/** Return time for requests that come to a stopping daemon: others are there at once. */
+/**
+ * Retry-After for requests refused by a stopping daemon: other daemons can take
+ * them at once.
+ */
 const STOPPING_RETRY_AFTER_MS = 50;
 
 const Status = {
@@ -48,7 +59,10 @@
   readonly #sockets = new Set<Socket>();
   readonly #closingSockets = new WeakSet<Socket>();
   #inFlight = 0;
-  /** When the stop began and when the process ends; undefined while it is not stopping. */
+  /**
+   * When the stop began and when the process ends; undefined unless the daemon
+   * is stopping.
+   */
   #stop: { beganAt: Milliseconds; endsAt: Milliseconds } | undefined;
 
   constructor(context: RequestContext) {
@@ -80,7 +94,9 @@
     });
   }
 
-  /** Puts the limits of the configuration in force, for connections old and new. */
+  /**
+   * Applies the limits of the configuration to existing and new connections.
+   */
   applyLimits(): void {
     const limits = this.#context.view.configuration?.limits;
     if (!limits) return;
@@ -88,12 +104,12 @@
     this.#server.keepAliveTimeout = limits.idleTimeoutMs + KEEP_ALIVE_MARGIN_MS;
   }
 
-  /** From now on answers close their connections. */
+  /** Starts the stop: from now on each response closes its connection. */
   beginStop(beganAt: Milliseconds, endsAt: Milliseconds): void {
     this.#stop = { beganAt, endsAt };
   }
 
-  /** Closes connections on which nothing is going on. */
+  /** Closes the connections that have no request in flight. */
   closeIdleConnections(): void {
     for (const socket of this.#idleSockets) this.#closeSocket(socket);
   }
@@ -112,7 +128,9 @@
     const arrivedAt = performance.now();
     const { socket } = request;
     if (this.#closingSockets.has(socket)) {
-      // It crossed the close: dropped unserved, the caller sends it again elsewhere.
+      // The caller sent the request while the connection was being closed. It
+      // is dropped without being run, so the caller can send it to another
+      // daemon.
       socket.destroy();
       return;
     }
@@ -122,7 +140,8 @@
       this.#inFlight -= 1;
       if (socket.destroyed) return;
       this.#idleSockets.add(socket);
-      // A stream that began before the stop did not announce the close.
+      // The head of a stream that began before the stop did not announce the
+      // close of its connection.
       if (this.#stop !== undefined) this.#closeSocket(socket);
     });
     response.on("error", (error) => {
@@ -144,7 +163,7 @@
     response: ServerResponse,
     arrivedAt: Milliseconds,
   ): Promise<void> {
-    const { headerCodec: headerCodec, view } = this.#context;
+    const { headerCodec, view } = this.#context;
     const metadata = headerCodec.decodeRequestMetadata(
       request.headers,
       request.url ?? "/",
@@ -154,14 +173,14 @@
     const exchange = new CallerExchange({
       request,
       response,
-      metadata: metadata,
+      metadata,
       body: body ?? Buffer.alloc(0),
       arrivedAt,
       isClosing: () => this.#stop !== undefined,
     });
     if (body === null) {
       this.#refuse(exchange, Status.TooLarge, "body is too large", undefined);
-      // The rest may have no end: it is not read.
+      // The rest of the body is not read, as it may never end.
       setTimeout(() => request.destroy(), OVERSIZED_BODY_LINGER_MS);
       return;
     }
@@ -217,7 +236,7 @@
     reason: string,
     retryAfterMs: Milliseconds | undefined,
   ): void {
-    const { log, metrics, headerCodec: headerCodec, view } = this.#context;
+    const { log, metrics, headerCodec, view } = this.#context;
     metrics.count("refusals", reason);
     log.info("requestDecision", {
       requestId: exchange.metadata.requestId,
@@ -232,7 +251,10 @@
     exchange.sendError(status, headers, reason);
   }
 
-  /** Returns the body, null when it is too long, or undefined when the caller left. */
+  /**
+   * Returns the body, null if it exceeds the limit, or undefined if the caller
+   * disconnected.
+   */
   #readBody(request: IncomingMessage): Promise<Buffer | null | undefined> {
     const limit = this.#context.view.configuration?.limits.maxBodyBytes ??
       DEFAULT_MAX_BODY_BYTES;
@@ -255,7 +277,9 @@
   }
 }
 
-/** Hashes what stays the same when a caller sends a request again. */
+/**
+ * Hashes the parts of a request that stay the same when the caller retries it.
+ */
 function computeFingerprint(
   request: IncomingMessage,
   metadata: RequestMetadata,
--- a/src/gateway/engine_selector.ts
+++ b/src/gateway/engine_selector.ts
@@ -1,7 +1,9 @@
 /**
- * Finds a place in an engine for one request: asks the holders of the engines
- * that may have its adapter, home first, and waits where the first token comes
- * soonest. Without a holder to ask, goes where the adapter is said to be.
+ * Selects the engine for one request and obtains a permit there. The owners of
+ * the candidate engines are asked in rank order, the adapter's preferred engine
+ * first; if all deny, the request waits for a permit of the engine where the
+ * first token is expected soonest. If no owner can be asked, it goes without a
+ * permit to an engine on which the adapter is reported as resident.
  */
 import {
   DenialReason,
@@ -29,16 +31,28 @@
 import type { RequestContext } from "./request_context.ts";
 import { listUsableUpstreams } from "./usable_upstreams.ts";
 
-/** Time by which another engine must be faster than an adapter's home. */
+/**
+ * Amount by which the expected wait at an engine of lower rank must be shorter
+ * for the request to go there.
+ */
 const MIN_SPILLOVER_GAIN_MS = 120;
-/** Time from a claim until peers have heard of it and a load is done. */
+/**
+ * Time from the claim of an engine by a new owner until its peers know of it
+ * and a load has completed.
+ */
 const CLAIM_PROPAGATION_MS = 500;
-/** Delay before a load that was not done is asked for again. */
-const LOAD_RETRY_DELAY_MS = 60;
-/** Return time for a refusal that no estimate speaks for. */
+/**
+ * Time after which the owner is to take a load for complete that had not
+ * completed when the request reached the engine.
+ */
+const LATE_LOAD_DELAY_MS = 60;
+/** Retry-After of a refusal for which there is no estimate. */
 const DEFAULT_RETRY_AFTER_MS = 300;
 
-/** A place in an engine's batch, or the right to go there without one. */
+/**
+ * The engine that the request was sent to, and the id of its permit there. The
+ * id is also set for a request that went without a permit.
+ */
 interface EngineAssignment {
   engine: PublishedUpstream;
   permitId: string;
@@ -49,9 +63,9 @@
   exchange: CallerExchange;
   route: PublishedRoute;
   service: PublishedService;
-  /** When the request has to be over. */
+  /** When the request has to have ended. */
   endsAt: Milliseconds;
-  /** Upstreams that are not to be tried again. */
+  /** Upstreams that are not to be tried again for this request. */
   excludedUpstreamIds: ReadonlySet<string>;
   isFinished: () => boolean;
 }
@@ -63,7 +77,7 @@
   #expectedWaitMs: Milliseconds = DEFAULT_RETRY_AFTER_MS;
   #assignment: EngineAssignment | undefined;
   #permitCount = 0;
-  /** Whether the request has been counted as demand. */
+  /** Whether the request has been counted as demand for its adapter. */
   #hasRecordedDemand = false;
 
   constructor(options: EngineSelectorOptions) {
@@ -72,27 +86,39 @@
     this.#exchange = options.exchange;
   }
 
-  /** Questions for a place that were asked so far. */
+  /**
+   * Number of permit ids used so far: one for each permit that was requested,
+   * and one for each assignment without a permit.
+   */
   get permitCount(): number {
     return this.#permitCount;
   }
 
-  /** Time after which a place is expected, for a request that is refused. */
+  /**
+   * Time after which a permit is likely to be granted; basis of the Retry-After
+   * of a refusal.
+   */
   get expectedWaitMs(): Milliseconds {
     return this.#expectedWaitMs;
   }
 
-  /** Version that the request's adapter must have; undefined when none is declared. */
+  /**
+   * Version that the request's adapter must have; undefined if none is
+   * declared.
+   */
   get adapterVersion(): number | undefined {
     return this.#exchange.metadata.adapter === ""
       ? undefined
       : this.#context.view.getAdapterVersion(this.#getAdapterPath());
   }
 
-  /** Finds an engine with a place for the request; the place is released after the attempt. */
+  /**
+   * Returns the engine that is to run the request, or undefined if there is
+   * none. `releaseEngine` has to be called after the attempt.
+   */
   async selectEngine(): Promise<PublishedUpstream | undefined> {
     const { view, health, backoff } = this.#context;
-    const { metadata: metadata } = this.#exchange;
+    const { metadata } = this.#exchange;
     const serving = view.listServing(this.#options.service.name).filter((
       engine,
     ) => metadata.model === "" || engine.models.includes(metadata.model));
@@ -132,7 +158,8 @@
       }
       if (answer.reason === DenialReason.Overdue) return undefined;
       if (answer.reason === DenialReason.NotOwner) continue;
-      // Each copy of an adapter costs a load: the home is left only for a clear gain.
+      // Each further engine that serves an adapter costs a load: an engine of
+      // lower rank is chosen only if its wait is clearly shorter.
       const isClearlyShorter = !shortestWait ||
         answer.retryAfterMs < shortestWait.ms - MIN_SPILLOVER_GAIN_MS;
       if (isClearlyShorter) {
@@ -153,7 +180,7 @@
       : undefined;
   }
 
-  /** Counts the request as demand, once. */
+  /** Counts the request as demand for its adapter, once. */
   #recordDemand(placementKey: string, now: Milliseconds): void {
     if (this.#hasRecordedDemand) return;
     this.#hasRecordedDemand = true;
@@ -166,7 +193,10 @@
     }, now);
   }
 
-  /** Returns how much is asked for in this failure domain, whose callers come to its hosts alike. */
+  /**
+   * Estimates the demand in this failure domain from that at this daemon: the
+   * callers of a failure domain are spread evenly over its hosts.
+   */
   #computeDemand(placementKey: string, now: Milliseconds): DomainDemand {
     const { demand, engines, failureDomain, fleet } = this.#context;
     const rate = demand.getRate(placementKey, now);
@@ -180,7 +210,10 @@
     };
   }
 
-  /** Notes the run, so that a holder to come knows of it. */
+  /**
+   * Assigns an engine without a permit. The run is recorded, so that it can be
+   * reported to the engine's next owner.
+   */
   #assignWithoutPermit(
     engine: PublishedUpstream | undefined,
   ): PublishedUpstream | undefined {
@@ -197,12 +230,12 @@
     permitId: string,
     reportedTo: string | undefined,
   ): void {
-    const { metadata: metadata } = this.#exchange;
+    const { metadata } = this.#exchange;
     this.#assignment = { engine, permitId };
     this.#context.engines.permits.addRun({
       engineId: engine.id,
       permitId,
-      reportedTo: reportedTo,
+      reportedTo,
       adapterPath: this.#getAdapterPath(),
       promptTokens: metadata.promptTokens,
       outputTokens: metadata.outputTokens,
@@ -212,11 +245,14 @@
     });
   }
 
-  /** Without a holder to ask, goes where the adapter is said to be resident. */
+  /**
+   * Returns the first engine on which the adapter is reported as resident, in
+   * the required version or a newer one. Used if no owner can be asked.
+   */
   #findEngineWithAdapter(
     ranked: readonly PublishedUpstream[],
   ): PublishedUpstream | undefined {
-    const { metadata: metadata } = this.#exchange;
+    const { metadata } = this.#exchange;
     const path = this.#getAdapterPath();
     const version = this.adapterVersion;
     return ranked.find((engine) => {
@@ -233,7 +269,7 @@
     isLastChoice: boolean,
   ): Promise<PermitReply> {
     const { selfId, engines } = this.#context;
-    const { metadata: metadata } = this.#exchange;
+    const { metadata } = this.#exchange;
     const { latencyObjectiveMs, interTokenObjectiveMs, priorityRank } =
       this.#options.route;
     const remainingMs = Math.max(1, this.#options.endsAt - performance.now());
@@ -264,7 +300,7 @@
     });
   }
 
-  /** Returns whether the answer grants a place that is still wanted. */
+  /** Applies an owner's answer; returns whether it granted the permit. */
   #applyPermitAnswer(
     engine: PublishedUpstream,
     answer: PermitAnswer,
@@ -287,33 +323,36 @@
     }
   }
 
-  /** Gives the place back after its attempt. */
+  /**
+   * Releases the permit after the attempt, and tells the owner if the engine
+   * did not run the request.
+   */
   releaseEngine(result?: AttemptResult): void {
-    const place = this.#assignment;
+    const assignment = this.#assignment;
     this.#assignment = undefined;
-    if (!place) return;
+    if (!assignment) return;
     const isUnusable = result?.outcome === AttemptOutcome.NotRun;
     const backoffMs = this.#context.backoff
-      .getRemainingMs(place.engine, performance.now());
+      .getRemainingMs(assignment.engine, performance.now());
     this.#context.engines.permits.notifyOwner(
       isUnusable
         ? {
           kind: "permitUnusable",
-          engineId: place.engine.id,
-          permitId: place.permitId,
+          engineId: assignment.engine.id,
+          permitId: assignment.permitId,
           isMisdirected: result.notRunReason === NotRunReason.Misdirected,
-          delayMs: LOAD_RETRY_DELAY_MS,
+          delayMs: LATE_LOAD_DELAY_MS,
           backoffMs,
         }
         : {
           kind: "permitReleased",
-          engineId: place.engine.id,
-          permitId: place.permitId,
+          engineId: assignment.engine.id,
+          permitId: assignment.permitId,
         },
     );
   }
 
-  /** Tells the holder that the engine has read the prompt. */
+  /** Tells the owner that the engine has finished prefill of the request. */
   notifyFirstToken(): void {
     if (!this.#assignment) return;
     this.#context.engines.permits.notifyOwner({
--- a/src/gateway/fetch_limiter.ts
+++ b/src/gateway/fetch_limiter.ts
@@ -1,6 +1,7 @@
 /**
- * Paces this daemon's loads from the weight store: counts them over its engines, and
- * lets their number follow how long they take, here and at the other daemons.
+ * Limits the concurrent fetches (loads of adapters from the weight store) of
+ * this daemon's engines. The limit adapts to how long fetches take, here and at
+ * the other daemons.
  */
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import type { EngineOwner } from "../core/ordering/engine_owner.ts";
@@ -20,7 +21,7 @@
 
 export class FetchLimiter {
   readonly #options: FetchLimiterOptions;
-  readonly #window = new FetchConcurrencyLimit();
+  readonly #concurrencyLimit = new FetchConcurrencyLimit();
   #engineCount = 0;
   #reportedLimit = 0;
 
@@ -28,24 +29,30 @@
     this.#options = options;
   }
 
-  /** Loads that go at full speed together, as found here; undefined before any was seen. */
+  /**
+   * Number of concurrent fetches that the weight store serves at full speed, as
+   * measured here; undefined before the first measurement.
+   */
   get measuredLimit(): number | undefined {
-    return this.#window.measuredLimit;
+    return this.#concurrencyLimit.measuredLimit;
   }
 
-  /** Sets the number of engines, over all daemons. */
+  /** Sets the number of engines of all daemons together. */
   setEngineCount(engines: number): void {
     this.#engineCount = engines;
-    this.#window.setEngineCount(engines);
+    this.#concurrencyLimit.setEngineCount(engines);
   }
 
-  /** Takes in what the other daemons have found. */
+  /** Records the limits that the other daemons have measured. */
   recordPeerLimits(now: Milliseconds): void {
     const { fleet } = this.#options;
-    this.#window.recordPeerLimits(fleet.listFullSpeedFetches(now));
+    this.#concurrencyLimit.recordPeerLimits(fleet.listFullSpeedFetches(now));
   }
 
-  /** Returns whether another load may start here. */
+  /**
+   * Returns this daemon's share of the concurrent fetches, and whether another
+   * one may start here.
+   */
   computeShare(
     own: { fetches: number; heldEngines: number },
     now: Milliseconds,
@@ -53,21 +60,24 @@
     const { fleet } = this.#options;
     const aliveDaemons = fleet.countAlive(now);
     const owners = Math.max(1, Math.min(aliveDaemons, this.#engineCount));
-    return this.#window.computeShare({
+    return this.#concurrencyLimit.computeShare({
       ownFetches: own.fetches,
       peerFetches: fleet.isFullMesh() ? fleet.countFetches(now) : undefined,
       engineShare: Math.max(1, own.heldEngines) /
         Math.max(this.#engineCount, owners),
-      owners: owners,
+      owners,
     });
   }
 
-  /** Learns from the loads that a holder has seen done, or late. */
+  /**
+   * Updates the limit from the fetches that an engine's owner saw complete, or
+   * saw overdue.
+   */
   recordLoads(owner: EngineOwner, now: Milliseconds): void {
     for (const observation of owner.admission.slots.takeObservations()) {
-      this.#window.recordFetch(observation, now);
+      this.#concurrencyLimit.recordFetch(observation, now);
     }
-    const fullSpeed = Math.round(this.#window.limit);
+    const fullSpeed = Math.round(this.#concurrencyLimit.limit);
     if (fullSpeed === this.#reportedLimit) return;
     this.#reportedLimit = fullSpeed;
     this.#options.metrics.setGauge("full_speed_fetches", fullSpeed);
--- a/src/gateway/http_client.ts
+++ b/src/gateway/http_client.ts
@@ -1,4 +1,7 @@
-/** Small HTTP calls with a bound on the whole exchange, for the store, engines' orders and peers. */
+/**
+ * HTTP client for short calls to the store, to engines (orders and reports) and
+ * to peers, with a time limit for the whole call.
+ */
 import { Agent, type IncomingHttpHeaders, request } from "node:http";
 import { Buffer } from "node:buffer";
 import { parseAddress } from "../daemon/http_server.ts";
@@ -6,7 +9,7 @@
 import type { Milliseconds } from "../core/structures.ts";
 
 export interface HttpRequestOptions {
-  /** Names the call in errors. */
+  /** Name of the call in errors. */
   step: string;
   /** `IP:port`. */
   address: string;
@@ -14,9 +17,15 @@
   path: string;
   headers?: Record<string, string>;
   body?: string;
-  /** The whole exchange is given up after this time. */
+  /**
+   * Time limit for the whole call, from the connection to the end of the
+   * response.
+   */
   timeoutMs: Milliseconds;
-  /** Longer answers are given up; a page of the store by default. */
+  /**
+   * Maximum size of the response body; by default enough for a page of the
+   * store.
+   */
   maxAnswerBytes?: number;
   agent: Agent;
 }
@@ -27,7 +36,10 @@
   body: Buffer;
 }
 
-/** An exchange that failed: `hasBeenSent` tells whether the peer may have read it. */
+/**
+ * A call that failed. `hasBeenSent` says whether a connection existed, so that
+ * the server may have read the request.
+ */
 export class HttpRequestError extends StepError {
   readonly hasBeenSent: boolean;
 
@@ -42,10 +54,13 @@
   }
 }
 
-/** Longest answer that is read by default: a page of the store is a megabyte, base64 within JSON a third more. */
+/**
+ * Default maximum size of a response body: a page of the store is a megabyte,
+ * and base64 in JSON adds a third.
+ */
 const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
 
-/** Makes one call and reads the whole answer. */
+/** Sends one request and reads the whole response. */
 export function sendHttpRequest(
   options: HttpRequestOptions,
 ): Promise<HttpResponse> {
@@ -66,7 +81,7 @@
       reject(new HttpRequestError(step, address, detail, hasConnected));
     };
     const timer = setTimeout(
-      () => fail(`no answer within ${timeoutMs} ms`),
+      () => fail(`no response within ${timeoutMs} ms`),
       timeoutMs,
     );
     call.on("socket", (socket) => {
@@ -79,13 +94,13 @@
       let length = 0;
       response.on("data", (chunk: Buffer) => {
         length += chunk.length;
-        if (length > maxAnswerBytes) fail("answer is too long");
+        if (length > maxAnswerBytes) fail("response is too large");
         else chunks.push(chunk);
       });
       response.on("error", (error) => fail(error.message));
       response.on("end", () => {
         clearTimeout(timer);
-        if (!response.complete) return fail("answer was cut short");
+        if (!response.complete) return fail("response is incomplete");
         resolve({
           status: response.statusCode ?? 0,
           headers: response.headers,
--- a/src/gateway/permit_client.ts
+++ b/src/gateway/permit_client.ts
@@ -1,6 +1,7 @@
 /**
- * Asks engines' holders for places on behalf of this daemon's callers, and keeps
- * the runs that came of it, so that a new holder can be told of them.
+ * Requests permits from the owners of engines for this daemon's callers, and
+ * keeps track of the runs that this daemon dispatched, so that they can be
+ * reported to an engine's new owner.
  */
 import type { BatchDemand } from "../core/admission/batch_capacity.ts";
 import {
@@ -16,11 +17,17 @@
 import type { PublishedUpstream } from "../core/view/published_view.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
 
-/** Period in which returns that did not reach a holder are looked at. */
-const RETURN_RETRY_INTERVAL_MS = 200;
-/** Runs told in one message, so that it stays one datagram. */
+/**
+ * Interval between checks for undelivered permit releases that are due for a
+ * retry.
+ */
+const RELEASE_RETRY_INTERVAL_MS = 200;
+/** Maximum number of runs in one message, so that it fits into one datagram. */
 const MAX_RUNS_PER_MESSAGE = 6;
-/** Added to a permit's patience for the way there and back. */
+/**
+ * Added to the time that a request waits for a permit, for the messages to the
+ * owner and back.
+ */
 const ROUND_TRIP_MARGIN_MS = 150;
 
 /** The answer to a permit request, and the daemon that gave it. */
@@ -29,7 +36,10 @@
   grantorId: string;
 }
 
-/** A run of this daemon at an engine, and the holder that knows of it. */
+/**
+ * A run that this daemon dispatched to an engine, and the owner that it was
+ * reported to.
+ */
 export interface DispatchedRun extends BatchDemand {
   startedAt: Milliseconds;
   engineId: string;
@@ -38,8 +48,8 @@
   reportedTo: string | undefined;
 }
 
-/** What gives a permit back. */
-type PermitReturnMessage = Extract<
+/** Message that releases a permit. */
+type PermitReleaseMessage = Extract<
   GatewayMessage,
   { kind: "permitReleased" | "permitUnusable" }
 >;
@@ -52,14 +62,17 @@
   selfId: string;
   termMs: Milliseconds;
   fleet: FleetView;
-  /** Whether this daemon gives the engine's orders. */
+  /** Returns whether this daemon is the engine's owner. */
   isOwnedLocally: (engineId: string) => boolean;
   isStopping: () => boolean;
-  /** Who gives each engine's orders, as far as is known; this daemon included. */
+  /** Returns the known owner of each engine, which may be this daemon. */
   listOwners: (now: Milliseconds) => ReadonlyMap<string, string>;
-  /** Sends until the receiver acknowledges; resolves to false when it does not. */
+  /**
+   * Sends with retries until the receiver acknowledges; resolves to false if it
+   * never does.
+   */
   send: (peerId: string, message: GatewayMessage) => Promise<boolean>;
-  /** Sends what may be lost. */
+  /** Sends without acknowledgement: the message may be lost. */
   sendOnce: (peerId: string, message: GatewayMessage) => void;
 }
 
@@ -68,19 +81,25 @@
   readonly #pendingPermits = new Map<string, PendingPermit>();
   readonly #dispatchedRuns = new Map<string, DispatchedRun>();
   readonly #ownerHints = new OwnerHints();
-  readonly #undeliveredReturns = new PermitReleaseRetryQueue<
-    PermitReturnMessage
+  readonly #releaseRetryQueue = new PermitReleaseRetryQueue<
+    PermitReleaseMessage
   >();
-  /** Holders that have been told of the runs here, by engine. */
+  /**
+   * The owner of each engine to which this daemon's runs have been reported.
+   */
   readonly #notifiedOwners = new Map<string, string>();
-  #lastReturnRetryAt = Number.NEGATIVE_INFINITY;
+  #lastReleaseRetryAt = Number.NEGATIVE_INFINITY;
   readonly #runEstimator = new RunEstimator();
 
   constructor(options: PermitClientOptions) {
     this.#options = options;
   }
 
-  /** Asks the engine's holder for a place, and whom it names where it is not the holder; always resolves. */
+  /**
+   * Requests a permit from the engine's owner. If the daemon asked is not the
+   * owner and names another one, that one is asked. The promise always
+   * resolves; without an answer, to a denial.
+   */
   async requestPermit(
     engine: PublishedUpstream,
     request: PermitRequest,
@@ -101,19 +120,25 @@
     return await this.#sendPermitRequest(knownHolder, engine, request);
   }
 
-  /** Returns whether nobody held the engine when it was last asked for, a moment ago. */
+  /**
+   * Returns whether the engine had no owner when a permit for it was last
+   * requested, a moment ago.
+   */
   isUnowned(engineId: string, now: Milliseconds): boolean {
     return this.#ownerHints.isUnowned(engineId, now);
   }
 
-  /** Returns who holds the engine: by its own word, by that of one who was asked, or by rank. */
+  /**
+   * Returns the engine's likely owner: this daemon if it owns the engine, else
+   * the alive daemon that an earlier denial named, else the daemon whose
+   * heartbeats say so, else the one that ranks first as its owner.
+   */
   #findOwner(engine: PublishedUpstream): string | undefined {
-    const { fleet, selfId, isOwnedLocally: isOwnedLocally, isStopping } =
-      this.#options;
+    const { fleet, selfId, isOwnedLocally, isStopping } = this.#options;
     const now = performance.now();
     if (isOwnedLocally(engine.id)) return selfId;
-    const told = this.#ownerHints.find(engine.id, now);
-    if (told !== undefined && fleet.isAlive(told, now)) return told;
+    const hint = this.#ownerHints.find(engine.id, now);
+    if (hint !== undefined && fleet.isAlive(hint, now)) return hint;
     return fleet.findOwner(engine.id, now) ??
       fleet.rankOwners(engine, isStopping(), now)[0]?.id;
   }
@@ -156,17 +181,20 @@
     });
   }
 
-  /** Mean duration of this daemon's runs, from place to end. */
+  /** Mean duration of this daemon's runs, from the permit to their end. */
   get meanRunMs(): Milliseconds {
     return this.#runEstimator.meanRunMs;
   }
 
-  /** Notes a run of this daemon at an engine, so that a new holder can be told. */
+  /**
+   * Records a run that this daemon dispatched, so that it can be reported to a
+   * new owner of the engine.
+   */
   addRun(run: DispatchedRun): void {
     this.#dispatchedRuns.set(run.permitId, run);
   }
 
-  /** Tells the daemon that counts a run of this one something about it. */
+  /** Sends a message about a run to the owner that it was reported to. */
   notifyOwner(
     message: Extract<
       GatewayMessage,
@@ -177,7 +205,8 @@
     const { sendOnce } = this.#options;
     switch (message.kind) {
       case "firstToken":
-        // Lost ones are made up for: the holder takes a prompt for read after a while.
+        // May be lost: after a while, the owner assumes that prefill has
+        // finished.
         if (run?.reportedTo !== undefined) sendOnce(run.reportedTo, message);
         break;
       case "permitReleased":
@@ -187,39 +216,45 @@
           this.#runEstimator.recordRun(performance.now() - run.startedAt);
         }
         if (run?.reportedTo !== undefined) {
-          this.#returnPermit(message, run.reportedTo, run.endsAt);
+          this.#releasePermit(message, run.reportedTo, run.endsAt);
         }
         break;
     }
   }
 
-  /** Tells the holder that a run is over, again once it is heard where it could not be reached. */
-  #returnPermit(
-    message: PermitReturnMessage,
+  /**
+   * Releases a permit at the owner. If the owner can't be reached, this is
+   * retried once it is heard from again.
+   */
+  #releasePermit(
+    message: PermitReleaseMessage,
     ownerId: string,
     expiresAt: Milliseconds,
   ): void {
     void this.#options.send(ownerId, message).then((isDelivered) => {
       const now = performance.now();
-      this.#undeliveredReturns.recordSend(
-        { message, ownerId: ownerId, expiresAt },
+      this.#releaseRetryQueue.recordSend(
+        { message, ownerId, expiresAt },
         isDelivered,
         now,
       );
     });
   }
 
-  /** Gives back to holders what did not reach them. */
+  /** Retries the permit releases that did not reach their owners. */
   retryUndeliveredReturns(now: Milliseconds): void {
-    if (now - this.#lastReturnRetryAt < RETURN_RETRY_INTERVAL_MS) return;
-    this.#lastReturnRetryAt = now;
-    const isLiving = (id: string) => this.#options.fleet.isAlive(id, now);
-    for (const due of this.#undeliveredReturns.takeDue(isLiving, now)) {
-      this.#returnPermit(due.message, due.ownerId, due.expiresAt);
+    if (now - this.#lastReleaseRetryAt < RELEASE_RETRY_INTERVAL_MS) return;
+    this.#lastReleaseRetryAt = now;
+    const isAlive = (id: string) => this.#options.fleet.isAlive(id, now);
+    for (const due of this.#releaseRetryQueue.takeDue(isAlive, now)) {
+      this.#releasePermit(due.message, due.ownerId, due.expiresAt);
     }
   }
 
-  /** Tells each new holder of an engine all runs that this daemon has there, also that it has none. */
+  /**
+   * Reports this daemon's runs at an engine to each new owner of it, also if
+   * there are none.
+   */
   reportRunsToNewOwners(now: Milliseconds): void {
     const owners = this.#options.listOwners(now);
     for (const [engineId, ownerId] of owners) {
@@ -237,7 +272,7 @@
     this.#reportUnpermittedRuns(owners, now);
   }
 
-  /** Tells holders of the runs that went without a permit since. */
+  /** Reports the runs that have been dispatched without a permit since. */
   #reportUnpermittedRuns(
     owners: ReadonlyMap<string, string>,
     now: Milliseconds,
@@ -264,7 +299,7 @@
       promptParts: run.promptParts,
       lifetimeMs: Math.max(0, run.endsAt - now),
     }));
-    // A daemon without runs says so, too.
+    // A message is also sent if there are no runs: it says so.
     const messageCount = Math.max(
       1,
       Math.ceil(runs.length / MAX_RUNS_PER_MESSAGE),
@@ -280,7 +315,10 @@
     }
   }
 
-  /** Takes a holder's answer; a place that nobody waits for any more is given back. */
+  /**
+   * Takes an owner's answer. A permit that no request waits for any more is
+   * released.
+   */
   settlePermit(
     engineId: string,
     answer: PermitAnswer,
--- a/src/gateway/ports.ts
+++ b/src/gateway/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What the gateway needs of a platform. An adapter outside `src` implements
- * these, so that nothing in the product knows a platform's names.
+ * Interfaces between the gateway and a platform. An adapter outside `src`
+ * implements them, so that no code in `src` depends on a platform's names.
  */
 import type { IncomingHttpHeaders } from "node:http";
 import type {
@@ -11,41 +11,46 @@
 import type { StoreBatch, StoreChange } from "../core/view/store_mirror.ts";
 import type { Milliseconds } from "../core/structures.ts";
 
-/** A part of a prompt that other requests may share. */
+/** A part of a prompt, possibly shared with other requests. */
 export interface PromptPart {
   id: string;
   tokens: number;
 }
 
-/** What a caller's request says of itself. */
+/** What the headers and the path of a caller's request say. */
 export interface RequestMetadata {
-  /** Empty when the caller sent none. */
+  /** Empty if the caller sent none. */
   requestId: string;
   hostName: string;
   path: string;
-  /** How long the caller will wait; undefined when it does not say. */
+  /** How long the caller will wait; undefined if it does not say. */
   deadlineMs: Milliseconds | undefined;
   /** Base model; empty for plain services. */
   model: string;
   /** Adapter of the model; empty for the base model itself. */
   adapter: string;
   promptTokens: number;
-  /** Most tokens that it may generate. */
+  /** Maximum number of tokens to generate. */
   outputTokens: number;
   promptParts: PromptPart[];
-  /** Event after which a broken stream is to go on; undefined for a new one. */
+  /**
+   * Id of the event after which an interrupted stream is to resume; undefined
+   * for a new one.
+   */
   lastEventId: string | undefined;
-  /** Headers that stay the same when the caller sends the request again. */
+  /** The headers that stay the same when the caller retries the request. */
   stableHeaders: string;
 }
 
-/** What this attempt at an upstream adds to a caller's request. */
+/** What an attempt at an upstream adds to the caller's request. */
 export interface AttemptMetadata {
-  /** The upstream that alone may run it. */
+  /** The upstream that the attempt is meant for; any other must not run it. */
   upstreamId: string;
-  /** Time left, at which the upstream stops working on it. */
+  /**
+   * Time left until the deadline, at which the upstream is to stop its work.
+   */
   remainingMs: Milliseconds;
-  /** Version that the adapter must have; undefined when none is declared. */
+  /** Version that the adapter must have; undefined if none is declared. */
   adapterVersion: number | undefined;
   /** 0 is the most urgent; undefined for plain services. */
   priorityRank: number | undefined;
@@ -54,39 +59,56 @@
 
 /** Why an upstream did not run a request. */
 export const NotRunReason = {
-  /** It is full, or the request's load order is not done. */
+  /** The upstream is full, or the load of the adapter has not completed. */
   Rejected: "rejected",
-  /** It is another upstream, or lacks the model, adapter or version. */
+  /**
+   * The request was meant for another upstream, or this one lacks the model,
+   * the adapter or its version.
+   */
   Misdirected: "misdirected",
 } as const;
 export type NotRunReason = (typeof NotRunReason)[keyof typeof NotRunReason];
 
-/** What the head of an upstream's answer says. */
+/** What the head of an upstream's response says. */
 export interface ResponseHead {
   status: number;
-  /** Whether it names this request; an answer that names another belongs to nobody. */
+  /**
+   * Whether the response names this request. One that names another request
+   * must not be passed on to any caller.
+   */
   isForRequest: boolean;
-  /** Whether it carries the proof of the upstream that ran the request. */
+  /**
+   * Whether the response has the stamp of the upstream that ran the request.
+   */
   hasResponseStamp: boolean;
-  /** Whether the body is encoded, and so is not the upstream's own. */
+  /** Whether the body has a content encoding, which upstreams never use. */
   hasContentEncoding: boolean;
-  /** Set when the upstream promises that it did not run the request. */
+  /** Set if the upstream guarantees that it did not run the request. */
   notRunReason: NotRunReason | undefined;
-  /** Requests that run or wait there, where it tells. */
+  /**
+   * Number of requests that run or wait at the upstream; undefined if it does
+   * not say.
+   */
   reportedRunning: number | undefined;
-  /** Whether the upstream says that it is about to leave. */
+  /** Whether the upstream says that it is about to shut down. */
   isLeaving: boolean;
-  /** Time for which it wants no request of this host, where it turned one away and says so. */
+  /**
+   * Time for which the upstream wants no request from this host, if it rejected
+   * one and named a time.
+   */
   backoffMs: Milliseconds | undefined;
 }
 
-/** The caller-side and upstream-side headers of a platform. */
+/** Translates the headers that a platform's callers and upstreams use. */
 export interface HeaderCodec {
   decodeRequestMetadata(
     headers: IncomingHttpHeaders,
     url: string,
   ): RequestMetadata;
-  /** Returns the raw headers of the request to the upstream, without those of the body. */
+  /**
+   * Returns the raw headers of the request to the upstream, without those that
+   * describe the body.
+   */
   encodeAttemptHeaders(
     rawHeaders: readonly string[],
     attempt: AttemptMetadata,
@@ -96,36 +118,42 @@
     headers: IncomingHttpHeaders,
     requestId: string,
   ): ResponseHead;
-  /** Returns the raw headers of the answer to the caller, without those of one connection. */
+  /**
+   * Returns the raw headers of the response to the caller, without hop-by-hop
+   * headers.
+   */
   encodeResponseHeaders(rawHeaders: readonly string[]): string[];
-  /** Returns the headers with which a refusal is answered. */
+  /** Returns the headers of a refusal. */
   encodeRefusalHeaders(retryAfterMs: Milliseconds | undefined): string[];
   readonly readyPath: string;
 }
 
-/** The sets of published items that are followed separately. */
+/** The sets of published items, each of which is watched separately. */
 export const PublishedSet = {
   Configuration: "configuration",
   Upstreams: "upstreams",
 } as const;
 export type PublishedSet = (typeof PublishedSet)[keyof typeof PublishedSet];
 
-/** What a watch returned. */
+/** Result of a watch. */
 export type WatchResult =
   | { kind: "batch"; batch: StoreBatch }
-  /** The changes since then are no longer available: read all. */
+  /**
+   * The changes after the revision are no longer available: the set has to be
+   * read again.
+   */
   | { kind: "historyGone" };
 
-/** Reads the platform's store. Each call throws a StepError when it fails. */
+/** Reads the platform's store. Each call throws a StepError if it fails. */
 export interface PublishedStore {
   readAll(set: PublishedSet): Promise<StoreBatch>;
-  /** Waits for changes after the revision, up to the given time. */
+  /** Waits for changes after the revision, for up to the given time. */
   watch(
     set: PublishedSet,
     afterRevision: number,
     waitMs: Milliseconds,
   ): Promise<WatchResult>;
-  /** Closes connections that may have gone silent. */
+  /** Closes connections that may be half-open. */
   closeConnections(): void;
 }
 
@@ -133,15 +161,15 @@
   decode(change: StoreChange): PublishedChange;
 }
 
-/** An engine's account of itself. */
+/** State that an engine reports. */
 export interface EngineReport extends OrderReport {
-  /** Base models that it holds. */
+  /** Base models that are loaded. */
   models: string[];
-  /** Resident and coming adapters as `model/adapter`, with their versions. */
+  /** Resident and loading adapters as `model/adapter`, with their versions. */
   adapters: Map<string, { version: number; isLoading: boolean }>;
   running: number;
   waiting: number;
-  /** Whether the engine says that it is about to leave. */
+  /** Whether the engine says that it is about to shut down. */
   isLeaving: boolean;
 }
 
@@ -154,11 +182,13 @@
   version: number | undefined;
 }
 
-/** Gives orders to engines and reads their reports. */
+/** Sends load and eviction orders to engines and reads their reports. */
 export interface EngineControl {
-  /** Names the adapter of a model by its index from 0. */
+  /**
+   * Returns the name of a model's adapter from its index, which starts at 0.
+   */
   formatAdapterName(index: number): string;
-  /** Throws a StepError when the engine can't be read. */
+  /** Throws a StepError if the report can't be read. */
   readReport(
     engine: { id: string; address: string },
     now: Milliseconds,
--- a/src/gateway/request_context.ts
+++ b/src/gateway/request_context.ts
@@ -1,4 +1,4 @@
-/** What the gateway's parts share in serving a request. */
+/** The objects that the parts of the gateway share to serve requests. */
 import type { FleetView } from "../core/fleet/fleet_view.ts";
 import type { AnswerMemory } from "../core/limits/answer_memory.ts";
 import type { CrashQuarantine } from "../core/limits/crash_quarantine.ts";
--- a/src/gateway/request_handler.ts
+++ b/src/gateway/request_handler.ts
@@ -1,6 +1,7 @@
 /**
- * The life of one request in the gateway: finds a place for it, sends it, and
- * answers its caller once. The decisions are the core's; this carries them out.
+ * Handles one request: selects an upstream, sends attempts, and responds to the
+ * caller once. The core decides whether to retry, deliver, refuse or fail; this
+ * class carries the decisions out.
  */
 import type { Buffer } from "node:buffer";
 import { computeRetryAfterMs } from "../core/admission/retry_after.ts";
@@ -34,15 +35,30 @@
 import type { RequestContext } from "./request_context.ts";
 import { listUsableUpstreams } from "./usable_upstreams.ts";
 
-/** Time of a caller's deadline that the ways to it and back take. */
+/**
+ * Part of a caller's deadline that is reserved for the network between the
+ * caller and the gateway.
+ */
 const NETWORK_ALLOWANCE_MS = 8;
-/** Times that a request looks for another upstream because its own began to leave, or to back off. */
+/**
+ * Maximum number of times that a request selects another upstream because the
+ * selected one began to shut down or asked to back off.
+ */
 const MAX_RESELECTIONS = 3;
-/** Longest event of a stream: callers' whole bodies are bounded by 4 MB, events are some hundred bytes long. */
+/**
+ * Maximum size of one event in a stream. Events are some hundred bytes long;
+ * the whole body of a caller is limited to 4 MB.
+ */
 const MAX_EVENT_BYTES = 1024 * 1024;
-/** Part of the time left that an idempotent request gives one upstream to answer. */
+/**
+ * Share of the remaining time that an idempotent request gives one upstream to
+ * send the head of its response.
+ */
 const RESPONSE_HEADER_TIMEOUT_SHARE = 0.45;
-/** Objectives without a first event after which a resumable stream is sent elsewhere. */
+/**
+ * Time limit for the first event of a resumable stream, in multiples of the
+ * route's latency objective; then another upstream is tried.
+ */
 const FIRST_EVENT_TIMEOUT_OBJECTIVES = 2;
 
 const Status = {
@@ -72,7 +88,10 @@
   #sentAt: Milliseconds = Number.NaN;
   #firstByteAt: Milliseconds = Number.NaN;
   #reselections = 0;
-  /** Time until an upstream of a plain service takes requests again, where none does. */
+  /**
+   * Time until the first upstream of a plain service accepts requests again, if
+   * all of them asked to back off.
+   */
   #shortestBackoffMs: Milliseconds | undefined;
 
   constructor(
@@ -99,9 +118,12 @@
     });
   }
 
-  /** Serves the request; resolves when its answer has been given or its caller has left. */
+  /**
+   * Handles the request; resolves when the response has been sent or the caller
+   * has disconnected.
+   */
   async run(): Promise<void> {
-    const { retryBudget: retryBudget, metrics } = this.#context;
+    const { retryBudget, metrics } = this.#context;
     retryBudget.recordArrival(this.#service.name, performance.now());
     metrics.count("requests", this.#route.repeatability);
     const timer = setTimeout(
@@ -139,7 +161,8 @@
       return;
     }
     if (upstream && this.#isUnavailable(upstream)) {
-      // It began to leave, or to back off, while the request waited for its place.
+      // The upstream began to shut down, or asked to back off, while the
+      // request waited for its permit.
       this.#excludedUpstreamIds.add(upstream.id);
       this.#engineSelector.releaseEngine();
       this.#reselections += 1;
@@ -161,14 +184,14 @@
     this.#applyVerdict(result.detail, this.#decide(result), result);
   }
 
-  /** Returns whether the upstream may not be sent anything from here now. */
+  /** Returns whether this daemon must not send the upstream a request now. */
   #isUnavailable(upstream: PublishedUpstream): boolean {
     const { view, backoff } = this.#context;
     const isLeaving = view.getUpstream(upstream.id)?.isLeaving ?? true;
     return isLeaving || backoff.getRemainingMs(upstream, performance.now()) > 0;
   }
 
-  /** Takes in what the head of an answer says of its upstream. */
+  /** Records what a response head says about its upstream. */
   #handleHead(upstream: PublishedUpstream, head: ResponseHead): void {
     const { view, backoff, log, metrics, serviceLoads } = this.#context;
     const now = performance.now();
@@ -199,7 +222,7 @@
   }
 
   async #sendAttempt(upstream: PublishedUpstream): Promise<AttemptResult> {
-    const { metadata: metadata } = this.#exchange;
+    const { metadata } = this.#exchange;
     const isStream = this.#route.repeatability === Repeatability.Stream;
     const load = this.#getServiceLoad(upstream.id);
     this.#allAttempts += 1;
@@ -231,7 +254,7 @@
     return result;
   }
 
-  /** Passes on whole events; the head goes out with the first of them. */
+  /** Forwards complete events; the head is sent with the first of them. */
   #forwardChunk(chunk: Buffer): SinkDecision {
     const events = this.#splitter.push(chunk);
     if (this.#splitter.restBytes > MAX_EVENT_BYTES) return SinkDecision.Abort;
@@ -280,7 +303,7 @@
   }
 
   #decide(result: AttemptResult): AttemptVerdict {
-    const { retryBudget: retryBudget, fleet } = this.#context;
+    const { retryBudget, fleet } = this.#context;
     const { repeatability, isResumable, maxAttempts } = this.#route;
     const mayHaveRun = result.outcome !== AttemptOutcome.NotRun &&
       result.outcome !== AttemptOutcome.NotSent;
@@ -300,7 +323,7 @@
     });
   }
 
-  /** Carries a verdict out and logs it. */
+  /** Logs a verdict and carries it out. */
   #applyVerdict(
     reason: string,
     verdict: AttemptVerdict,
@@ -331,7 +354,8 @@
       case "tryAnother":
         metrics.count("repeats", result?.outcome ?? reason);
         if (result) this.#excludeUpstream(result);
-        // The next upstream starts with a whole event.
+        // Drops the incomplete event: the next upstream starts with a complete
+        // one.
         this.#splitter.takeRest();
         break;
       case "deliver":
@@ -348,7 +372,11 @@
     }
   }
 
-  /** An engine whose load was late is asked once more; others are passed over. */
+  /**
+   * Excludes the upstream from further attempts. An engine is excluded only
+   * after its second rejection: the first one may mean that a load had not
+   * completed.
+   */
   #excludeUpstream(result: AttemptResult): void {
     const { upstreamId } = result;
     const isFirstRejection = this.#service.engine !== undefined &&
@@ -372,7 +400,8 @@
       return;
     }
     if (result?.response) {
-      // A failure after the head of a stream was passed on can't be told any more.
+      // The head of the stream has been sent, so that the failure can only be
+      // signalled by closing the connection.
       this.#exchange.abort();
       return;
     }
@@ -441,10 +470,10 @@
     const { health, quarantine, metrics } = this.#context;
     const now = performance.now();
     metrics.count("attempts", result.outcome);
-    const sign = classifyHealth(result);
-    if (sign) {
-      health.recordSignal(upstream.id, sign, now);
-      this.#recordReachability(upstream, sign, now);
+    const signal = classifyHealth(result);
+    if (signal) {
+      health.recordSignal(upstream.id, signal, now);
+      this.#recordReachability(upstream, signal, now);
     }
     if (result.outcome === AttemptOutcome.Answered) {
       quarantine.recordSurvival(this.#fingerprint);
@@ -453,22 +482,26 @@
     }
   }
 
-  /** Learns from an attempt whether the upstream's failure domain can be reached. */
+  /** Records whether the attempt could reach the upstream's failure domain. */
   #recordReachability(
     { id, failureDomain }: PublishedUpstream,
-    sign: HealthSignal,
+    signal: HealthSignal,
     now: Milliseconds,
   ): void {
     const { reachability, fleet, log } = this.#context;
-    if (sign === HealthSignal.Answered || sign === HealthSignal.Rejected) {
+    if (signal === HealthSignal.Answered || signal === HealthSignal.Rejected) {
       reachability.recordReached(failureDomain);
       return;
     }
-    if (sign !== HealthSignal.Unreachable) return;
-    const isHeard = fleet.hasAlivePeer(failureDomain, now);
-    const wasCutOff = reachability.isUnreachable(failureDomain, isHeard, now);
+    if (signal !== HealthSignal.Unreachable) return;
+    const hasAlivePeer = fleet.hasAlivePeer(failureDomain, now);
+    const wasUnreachable = reachability.isUnreachable(
+      failureDomain,
+      hasAlivePeer,
+      now,
+    );
     reachability.recordUnreachable(failureDomain, now);
-    if (isHeard || wasCutOff) return;
+    if (hasAlivePeer || wasUnreachable) return;
     log.info("domainCutOff", {
       requestId: this.#exchange.metadata.requestId,
       failureDomain,
--- a/src/gateway/upstream_client.ts
+++ b/src/gateway/upstream_client.ts
@@ -1,6 +1,6 @@
 /**
- * Owns the connections to upstreams. One attempt goes out on one connection; a
- * connection on which anything unexpected happens is not used again.
+ * HTTP client for attempts at upstreams. Each attempt uses one connection; a
+ * connection on which anything unexpected happens is not reused.
  */
 import {
   Agent,
@@ -17,45 +17,69 @@
   /** `IP:port`. */
   address: string;
   method: string;
-  /** Path with its query, as the caller sent it. */
+  /** Path and query as the caller sent them. */
   url: string;
   rawHeaders: string[];
   body: Buffer;
-  /** Whether an idle connection may be used, which the upstream may just be closing. */
+  /**
+   * Whether a kept-alive connection may be used, which the upstream may be
+   * closing at that moment.
+   */
   mayReuseConnection: boolean;
 }
 
-/** What an attempt reports, in this order: at most one head, pieces, and one end. */
+/**
+ * Receives the events of an attempt, in this order: at most one head, chunks,
+ * and one end.
+ */
 export interface AttemptListener {
   onHead(head: IncomingMessage): void;
-  /** Returns whether more may come; after false nothing is read until `resume`. */
+  /**
+   * Returns whether to continue reading; after false nothing is read until
+   * `resume`.
+   */
   onChunk(chunk: Buffer): boolean;
   onEnd(end: AttemptEnd): void;
 }
 
-/** A request on its way. */
+/** An attempt that has been started. */
 export interface StartedAttempt {
-  /** Gives it up and closes its connection. */
+  /**
+   * Ends the attempt and closes its connection; the listener is not called any
+   * more.
+   */
   cancel: () => void;
-  /** Reads on after a piece for which no more could be taken. */
+  /** Continues reading after `onChunk` returned false. */
   resume: () => void;
 }
 
 export type AttemptEnd =
-  /** The whole answer has come. */
+  /** The whole response has arrived. */
   | { kind: "complete" }
-  /** No connection came about: nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   | { kind: "notSent"; detail: string }
-  /** The connection broke before or within the answer. */
+  /** The connection broke before or within the response. */
   | { kind: "broken"; detail: string };
 
-/** Time for a connection to be made: ways take milliseconds, a new one waits for a handshake. */
+/**
+ * Time limit for establishing a connection: a round trip takes milliseconds,
+ * and a new connection needs a handshake.
+ */
 const CONNECT_TIMEOUT_MS = 400;
-/** Time for which an idle connection is kept, below the upstreams' own idle limits of seconds. */
+/**
+ * Time for which an idle connection is kept. Shorter than the idle limits of
+ * the upstreams, which are some seconds.
+ */
 const IDLE_CONNECTION_TIMEOUT_MS = 2_000;
-/** Part of an upstream's connections that one daemon keeps idle. */
+/**
+ * Maximum number of idle connections that one daemon keeps to an upstream, out
+ * of those that the upstream allows.
+ */
 const MAX_IDLE_CONNECTIONS = 6;
-/** Interim answers (1xx) before the head after which a connection is cut: the protocol knows three kinds, each is sent once. */
+/**
+ * Maximum number of interim (1xx) responses before the head; beyond it the
+ * connection is closed. HTTP has three kinds, each of which is sent once.
+ */
 const MAX_INTERIM_HEADS = 8;
 
 export class UpstreamClient {
@@ -159,14 +183,15 @@
   };
 }
 
-/** Sockets that ended because their peer reset the connection. */
+/** Sockets whose remote end reset the connection. */
 const resetSockets = new WeakSet<Socket>();
 const watchedSockets = new WeakSet<Socket>();
 
 /**
- * A reset can show as a plain end of the stream, at which a body without a
- * length would pass for whole. A connection that was reset has no peer any
- * more, one that was closed still has.
+ * Detects connections that were reset. Node.js can report a reset as a normal
+ * end of the stream, and a body without a length would then be taken for
+ * complete. After a reset the socket has no remote address any more, after a
+ * normal close it still has.
  */
 function watchForReset(socket: Socket): void {
   if (watchedSockets.has(socket)) return;
@@ -176,13 +201,17 @@
   });
 }
 
-/** The error of a request that was given up on purpose tells nothing. */
+/** Ignores the error of a request that was cancelled on purpose. */
 function dropError(): void {}
 
-/** Drops an idle connection on which bytes arrive: they answer no request. */
+/**
+ * Agent that closes an idle connection on which bytes arrive: they belong to no
+ * request.
+ */
 class IdleCheckingAgent extends Agent {
   override keepSocketAlive(socket: Socket): boolean {
-    // The base class reads the upstream's Keep-Alive hint and may decline.
+    // The base class reads the upstream's Keep-Alive header and may return
+    // false.
     const keepAlive = super.keepSocketAlive as (socket: Socket) => unknown;
     if (keepAlive.call(this, socket) === false) return false;
     socket.on("data", dropConnection);
--- a/src/gateway/usable_upstreams.ts
+++ b/src/gateway/usable_upstreams.ts
@@ -1,11 +1,13 @@
-/** Which upstreams a request may be sent to from here now. */
+/** Selects the upstreams that this daemon may send a request to now. */
 import type { Milliseconds } from "../core/structures.ts";
 import type { PublishedUpstream } from "../core/view/published_view.ts";
 import type { RequestContext } from "./request_context.ts";
 
 /**
- * Returns the upstreams that want requests and can be reached; those that can't be
- * reached too where there is no other, and none only where each has backed off.
+ * Returns the upstreams that have not asked to back off and whose failure
+ * domain is reachable. If all of their failure domains are unreachable, they
+ * are returned all the same: the result is empty only if every upstream asked
+ * to back off.
  */
 export function listUsableUpstreams(
   context: Pick<RequestContext, "backoff" | "reachability" | "fleet">,
--- a/src/gateway/wait.ts
+++ b/src/gateway/wait.ts
@@ -1,4 +1,4 @@
-/** Lets time pass between the steps of a task. */
+/** Timer for asynchronous code. */
 import type { Milliseconds } from "../core/structures.ts";
 
 export function waitMs(durationMs: Milliseconds): Promise<void> {
--- a/test/gateway/answers_test.ts
+++ b/test/gateway/answers_test.ts
@@ -1,6 +1,6 @@
 /**
- * Rules of requests and answers against misbehaving replicas, one row a fault:
- * what the caller gets, and how often the request ran.
+ * How the gateway handles faulty replicas: for each fault, the response that
+ * the caller gets, and how often the request ran.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -27,7 +27,7 @@
   runs: number;
 }
 
-/** Whichever replica is asked first shows the fault, the others are sound. */
+/** Makes the replica that is asked first show the fault; the others work. */
 function setFaultOnce(
   replicas: FakePlatformReplica[],
   fault: ReplicaBehaviour,
@@ -58,7 +58,7 @@
 ];
 
 for (const { fault, path, status, runs } of ROWS) {
-  test(`${path}: ${fault} ends as ${status} after ${runs} runs`, async () => {
+  test(`${path}: behaviour ${fault} gives status ${status} after ${runs} runs`, async () => {
     const id = `${fault}-${path}`;
     setFaultOnce(harness.services, fault);
     const answer = await harness.call(path, { id, body: id });
@@ -69,7 +69,7 @@
   });
 }
 
-test("a second answer on a kept connection reaches nobody", async () => {
+test("an unrequested second response on a kept-alive connection reaches no caller", async () => {
   for (const service of harness.services) service.behaviours = ["extra"];
   await harness.call("/safe/1");
   await harness.call("/safe/1");
@@ -79,7 +79,7 @@
   for (const answer of answers) assert.is(answer.body, ANSWER);
 });
 
-test("a stream comes whole, from an adapter that is loaded for it", async () => {
+test("a stream is complete, and its adapter is loaded for it", async () => {
   const answer = await harness.call("/brief/1");
   assert.is(answer.status, 200);
   assert.ok(answer.isComplete);
@@ -89,7 +89,7 @@
   assert.ok(orders.some((order) => order.adapter === "a1"));
 });
 
-test("a stream that breaks off never looks whole", async () => {
+test("an interrupted stream never looks complete to its caller", async () => {
   for (const engine of harness.engines) engine.behaviours = ["breakStream"];
   const id = "broken-stream";
   const answer = await harness.call("/brief/1", { id });
@@ -98,7 +98,7 @@
   for (const engine of harness.engines) engine.behaviours = [];
 });
 
-test("a resumable stream goes on elsewhere, each event once", async () => {
+test("a resumable stream continues on another engine, with each event sent once", async () => {
   setFaultOnce(harness.engines, "breakStream");
   const id = "resumed-stream";
   const answer = await harness.call("/resume/1", { id });
@@ -114,7 +114,7 @@
   for (const engine of harness.engines) engine.behaviours = [];
 });
 
-test("a caller that leaves cancels the work", async () => {
+test("the replica's work is cancelled when the caller disconnects", async () => {
   for (const engine of harness.engines) engine.behaviours = ["slow"];
   const id = "left";
   await harness.call("/brief/1", { id, disconnectAfterMs: 300 }).catch(() =>
@@ -127,7 +127,7 @@
   for (const engine of harness.engines) engine.behaviours = [];
 });
 
-test("method, path, query, body and custom headers arrive unchanged, smuggled ones do not", async () => {
+test("method, path, query, body and custom headers are forwarded unchanged, a caller's reserved headers are removed", async () => {
   const id = "unchanged";
   await harness.call("/unsafe/a%20b?x=1&y=%2F", {
     id,
@@ -152,13 +152,13 @@
   assert.ok(Number(seen?.headers["x-deadline-ms"]) <= 2_500);
 });
 
-test("a route that is not there is not found, a body that is too long not taken", async () => {
+test("an unknown route gives 404, an oversized body 413", async () => {
   assert.is((await harness.call("/nowhere/1")).status, 404);
   const long = await harness.call("/safe/1", { body: "x".repeat(100_001) });
   assert.is(long.status, 413);
 });
 
-test("a route's timeout ends a request that its upstream holds", async () => {
+test("a route's timeout ends a request that its upstream does not answer", async () => {
   harness.routeOverrides = {
     ...harness.routeOverrides,
     unsafe: { timeout_ms: 400 },
--- a/test/gateway/bounds_test.ts
+++ b/test/gateway/bounds_test.ts
@@ -1,7 +1,7 @@
 /**
- * Bounds on what reaches replicas, one row a fault: versions of adapters (VERSION),
- * time and repeats that replicas are handed (BUDGET), and work for callers that
- * have left (GONE).
+ * Limits on what the gateway sends to replicas under each fault: adapter
+ * versions (VERSION), the time and the retries given to a request (BUDGET), and
+ * work for callers that have disconnected (GONE).
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -12,13 +12,22 @@
 import { waitMs } from "../../src/gateway/wait.ts";
 import { GatewayHarness } from "./gateway_harness.ts";
 
-/** Time in which a published version is known to a gateway, far below the rules' seconds. */
+/**
+ * Time within which a gateway knows a published version, far below the seconds
+ * that the rules allow.
+ */
 const PROPAGATION_MS = 700;
-/** Deadline that the bench's callers name. */
+/** Deadline that the harness's callers send. */
 const CALLER_DEADLINE_MS = 2_500;
-/** Time in which a replica's work for a caller who left must have been stopped. */
+/**
+ * Time within which a replica's work for a disconnected caller must have been
+ * cancelled.
+ */
 const CANCEL_MS = 500;
-/** Replicas that one crashing request may bring down before it is known; the rule allows it three more. */
+/**
+ * Number of replicas that one request may crash before it is quarantined; the
+ * rule allows three more.
+ */
 const MAX_CRASHES = 3;
 
 const harness = new GatewayHarness();
@@ -30,7 +39,10 @@
 test.after(() => harness.stop());
 test.after.each(() => setBehaviours([]));
 
-/** Whichever replica is asked next shows the next behaviour; sound ones follow. */
+/**
+ * Sets a list of behaviours that all replicas share: each request takes the
+ * next one, whichever replica gets it. When the list is empty, replicas work.
+ */
 function setBehaviours(behaviours: ReplicaBehaviour[]): void {
   for (const replica of [...harness.services, ...harness.engines]) {
     replica.behaviours = behaviours;
@@ -51,13 +63,13 @@
 const VERSION_ROWS: VersionRow[] = [
   { fault: "none", gateway: 0, version: 2, prepare: () => {} },
   {
-    fault: "the store turns watches away",
+    fault: "the store rejects watches",
     gateway: 1,
     version: 3,
     prepare: () => harness.store.fault = "busy",
   },
   {
-    fault: "the engine restarts empty",
+    fault: "the engine restarts without adapters",
     gateway: 0,
     version: 4,
     prepare: () => {
@@ -71,7 +83,7 @@
 ];
 
 for (const { fault, gateway, version, prepare } of VERSION_ROWS) {
-  test(`VERSION: nothing begins on an older version than ${version}; fault: ${fault}`, async () => {
+  test(`VERSION: no run starts on a version older than ${version}; fault: ${fault}`, async () => {
     const before = await harness.call("/brief/1", { gateway });
     assert.is(before.status, 200);
     for (const engine of harness.engines) engine.newestVersion = version;
@@ -97,7 +109,7 @@
 interface BudgetRow {
   fault: ReplicaBehaviour;
   path: string;
-  /** What the caller names. */
+  /** Deadline that the caller sends. */
   deadlineMs: number;
   runs: number;
 }
@@ -111,26 +123,29 @@
 ];
 
 for (const { fault, path, deadlineMs, runs } of BUDGET_ROWS) {
-  test(`BUDGET: ${path} with ${deadlineMs} ms, ${fault}: no run is handed more time than is left`, async () => {
+  test(`BUDGET: ${path} with ${deadlineMs} ms, ${fault}: no run is given more than the remaining time`, async () => {
     const id = `budget-${fault}-${deadlineMs}`;
     setBehaviours([fault]);
     await harness.call(path, {
       id,
       headers: { "X-Deadline-Ms": String(deadlineMs) },
     });
-    const handed = harness.listRuns(id).map(readDeadlineMs);
-    assert.is(handed.length, runs);
+    const deadlinesMs = harness.listRuns(id).map(readDeadlineMs);
+    assert.is(deadlinesMs.length, runs);
     const routeMs = 3_000;
-    for (const each of handed) {
+    for (const each of deadlinesMs) {
       assert.ok(each > 0 && each <= Math.min(deadlineMs, routeMs), `${each}`);
     }
     if (fault === "hang") {
-      assert.ok(Math.min(...handed) < Math.max(...handed) - 500, `${handed}`);
+      assert.ok(
+        Math.min(...deadlinesMs) < Math.max(...deadlinesMs) - 500,
+        `${deadlinesMs}`,
+      );
     }
   });
 }
 
-test("BUDGET: a request that crashes replicas is stopped, whoever sends it again", async () => {
+test("BUDGET: a request that crashes replicas is quarantined at all gateways, under any request id", async () => {
   setBehaviours(Array.from({ length: 40 }, (): ReplicaBehaviour => "reset"));
   for (let turn = 0; turn < 8; turn += 1) {
     const id = `crash-${turn}`;
@@ -139,7 +154,7 @@
   const runs = harness.services.flatMap((service) => service.seen)
     .filter(({ body }) => body === "crashes");
   assert.is(runs.length, MAX_CRASHES);
-  // Another gateway has heard of it within its heartbeats.
+  // By then the other gateway has learned of the crashes from heartbeats.
   await waitMs(1_500);
   const answer = await harness.call("/unsafe/1", {
     gateway: 1,
@@ -163,12 +178,12 @@
 ];
 
 for (
-  const { path, fault, disconnectAfterMs: disconnectAfterMs } of DISCONNECT_ROWS
+  const { path, fault, disconnectAfterMs } of DISCONNECT_ROWS
 ) {
-  test(`GONE: ${path}, ${fault}, left after ${disconnectAfterMs} ms: its work stops and nothing follows`, async () => {
+  test(`GONE: ${path}, ${fault}, disconnected after ${disconnectAfterMs} ms: its run is cancelled and not retried`, async () => {
     const id = `gone-${path}-${disconnectAfterMs}`;
     setBehaviours(Array.from({ length: 10 }, () => fault));
-    await harness.call(path, { id, disconnectAfterMs: disconnectAfterMs })
+    await harness.call(path, { id, disconnectAfterMs })
       .catch(() => undefined);
     const runsAtDisconnect = harness.countRuns(id);
     assert.ok(runsAtDisconnect > 0);
--- a/test/gateway/endless_test.ts
+++ b/test/gateway/endless_test.ts
@@ -1,6 +1,7 @@
 /**
- * Bytes that are no answer and come without end, from a replica or a caller: the
- * connection is cut, memory stays bounded, and the caller gets its one answer.
+ * Endless responses from a replica and endless requests from a caller: the
+ * connection is closed, memory stays bounded, and the caller gets exactly one
+ * response.
  */
 import { connect } from "node:net";
 import process from "node:process";
@@ -12,9 +13,15 @@
 import { GatewayHarness } from "./gateway_harness.ts";
 
 const harness = new GatewayHarness();
-/** Deadline of the bench's callers, after which nothing of a request may be left. */
+/**
+ * Deadline of the harness's callers, after which nothing of a request may
+ * remain.
+ */
 const DEADLINE_MS = 2_500;
-/** Memory that floods may add to this process, stand-ins included: half of the smallest hosts' 250 MB. */
+/**
+ * Memory by which this process, with its fakes, may grow under floods: half of
+ * the 250 MB of the smallest hosts.
+ */
 const MAX_GROWTH_BYTES = 125 * 1024 * 1024;
 
 test.before(() => harness.start({ gateways: 1, engines: 2, services: 2 }));
@@ -24,7 +31,7 @@
   part: EndlessPart;
   path: string;
   status: number;
-  /** Time within which the replica's connection must be cut. */
+  /** Time within which the replica's connection must be closed. */
   openMs: number;
 }
 
@@ -39,7 +46,10 @@
   "endlessChunkExtension",
   "endlessTrailers",
 ];
-/** Cut by its form, long before the deadline. */
+/**
+ * Limit for responses that are rejected for their form or size, long before the
+ * deadline.
+ */
 const CUT_MS = 1_000;
 
 const ROWS: Row[] = [
@@ -74,7 +84,7 @@
 }
 
 for (const { part, path, status, openMs } of ROWS) {
-  test(`${path}: ${part} is cut and answered ${status}`, async () => {
+  test(`${path}: a response with ${part} is cut off, and its caller gets ${status}`, async () => {
     const replicas = path.startsWith("/brief")
       ? harness.engines
       : harness.services;
@@ -103,7 +113,7 @@
   await harness.waitFor(() => record?.openMs !== undefined);
 });
 
-test("a caller that does not read holds the stream back, memory stays bounded", async () => {
+test("a caller that does not read puts back-pressure on the stream, and memory stays bounded", async () => {
   setFaultOnce(harness.engines, "endlessEvents");
   for (const engine of harness.engines) engine.endless.length = 0;
   const before = process.memoryUsage().rss;
@@ -123,7 +133,7 @@
   socket.destroy();
 });
 
-test("many floods at once keep to one bound", async () => {
+test("many concurrent floods stay within one memory bound", async () => {
   const before = process.memoryUsage().rss;
   for (const service of harness.services) {
     service.behaviours = Array.from({ length: 30 }, () => "endlessBody");
@@ -137,7 +147,7 @@
 });
 
 for (const kind of ["body", "header", "chunk extension"] as const) {
-  test(`a caller's ${kind} without end is cut`, async () => {
+  test(`the connection of a caller that sends an endless ${kind} is closed`, async () => {
     const socket = connect(harness.getCallerPort(), "127.0.0.1");
     let isClosed = false;
     socket.on("error", () => {});
--- a/test/gateway/gateway_harness.ts
+++ b/test/gateway/gateway_harness.ts
@@ -1,4 +1,7 @@
-/** A store, replicas and gateways of the users' platform on loopback, and a caller. */
+/**
+ * Test harness: a store, replicas and gateways of the users' platform on
+ * loopback addresses, and a caller.
+ */
 import { Buffer } from "node:buffer";
 import process from "node:process";
 import { Agent, request } from "node:http";
@@ -20,14 +23,16 @@
 import { gatewaySettingsSchema } from "../../src/settings/gateway_settings.ts";
 import { type PortReservation, reservePorts } from "../port_reservation.ts";
 
-/** Short, so that a takeover fits into a test. */
+/**
+ * Ownership term of the gateways: short, so that a takeover fits into a test.
+ */
 export const TERM_MS = 600;
 
 export interface CallerResponse {
   status: number;
   headers: Record<string, string | string[] | undefined>;
   body: string;
-  /** Whether the body came whole by its own framing. */
+  /** Whether the body is complete according to its framing. */
   isComplete: boolean;
 }
 
@@ -37,7 +42,7 @@
   method?: string;
   headers?: Record<string, string>;
   body?: string;
-  /** The caller leaves after this time. */
+  /** The caller disconnects after this time. */
   disconnectAfterMs?: number;
 }
 
@@ -50,7 +55,7 @@
   #ports: PortReservation | undefined;
   #version = 1;
   #lastId = 0;
-  /** Fields of routes that differ from the defaults. */
+  /** Route fields that differ from the defaults, by route name. */
   routeOverrides: Record<string, object> = {};
 
   async start(sizes: {
@@ -84,7 +89,10 @@
     return this.#ports.port;
   }
 
-  /** Port on which each gateway takes callers, on an address of its own. */
+  /**
+   * Returns the port on which the gateways accept callers, each at an address
+   * of its own.
+   */
   getCallerPort(): number {
     return this.#port;
   }
@@ -121,7 +129,9 @@
     this.store.put(`servers/${replica.id}`, replica.describe(service, state));
   }
 
-  /** Publishes the next configuration, with the route parts in force. */
+  /**
+   * Publishes the next configuration version, with the current route overrides.
+   */
   publish(extraRoutes: object[] = []): void {
     this.#version += 3;
     const create = (name: string, kind: string, service: string) =>
@@ -141,7 +151,7 @@
     );
   }
 
-  /** Calls a route as a caller does. */
+  /** Sends a request as a caller does. */
   call(path: string, options: CallOptions = {}): Promise<CallerResponse> {
     this.#lastId += 1;
     const isStream = path.startsWith("/brief") || path.startsWith("/resume");
@@ -191,7 +201,7 @@
     }
   }
 
-  /** Waits until the gateways are ready and every engine has a holder. */
+  /** Waits until the gateways are ready and every engine has an owner. */
   async waitUntilReady(gateways: number): Promise<void> {
     await this.waitFor(async () => {
       for (let index = 0; index < gateways; index += 1) {
@@ -199,7 +209,8 @@
       }
       return true;
     });
-    // Engines are claimed once peers have been heard for some seconds.
+    // Gateways claim engines only after they have heard from their peers for
+    // some seconds.
     await waitMs(3_200);
   }
 
@@ -216,7 +227,7 @@
     }
   }
 
-  /** Returns the runs of a request, at whichever replica. */
+  /** Returns the runs of a request at all replicas. */
   listRuns(id: string): SeenRequest[] {
     return [...this.engines, ...this.services]
       .flatMap((replica) => replica.seen)
--- a/test/gateway/notices_test.ts
+++ b/test/gateway/notices_test.ts
@@ -1,7 +1,8 @@
 /**
- * What replicas say of themselves in their answers, against a whole gateway: one
- * that leaves gets no more requests from here, one that backs off gets none for
- * as long as it said, and callers learn when to come back.
+ * What replicas announce in their response headers, tested with a whole
+ * gateway: a replica that shuts down gets no more requests from the gateway,
+ * one that asks to back off gets none for the time it named, and refused
+ * callers are told when to retry.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -13,7 +14,7 @@
 import { GatewayHarness } from "./gateway_harness.ts";
 
 const harness = new GatewayHarness();
-/** Time in which a published entry is known to the gateway. */
+/** Time within which the gateway knows a published entry. */
 const PROPAGATION_MS = 700;
 
 test.before(() => harness.start({ gateways: 1, engines: 2, services: 2 }));
@@ -32,7 +33,9 @@
   return answers.map((answer) => answer.status);
 }
 
-/** Calls until a replica has been asked; it is one of two. */
+/**
+ * Sends requests until the check holds: either of the two replicas may get one.
+ */
 async function callServiceUntil(check: () => boolean): Promise<void> {
   for (let call = 0; call < 60 && !check(); call += 1) {
     await harness.call("/safe/1");
@@ -40,19 +43,19 @@
   assert.ok(check(), `expected ${check} within 60 calls`);
 }
 
-for (const where of ["an answer", "a refusal", "a failure"] as const) {
-  test(`a replica that says in ${where} that it leaves gets no more requests, until another start of it`, async () => {
+for (const where of ["a response", "a refusal", "a failure"] as const) {
+  test(`a replica that announces its shutdown in ${where} gets no more requests until it has restarted`, async () => {
     const leaving = getService(0);
     leaving.isLeaving = true;
     const fault = {
-      "an answer": "answer",
+      "a response": "answer",
       "a refusal": "shed",
       "a failure": "fail",
     } as const;
     leaving.behaviours = [fault[where]];
     await callServiceUntil(() => leaving.behaviours.length === 0);
     const seenBefore = leaving.seen.length;
-    // The store still says that it is ready, and says so again.
+    // The store still lists the replica as ready, and publishes that again.
     harness.register(leaving);
     await waitMs(PROPAGATION_MS);
     assert.equal(await callAll("/safe/1", 8), Array(8).fill(200));
@@ -75,7 +78,7 @@
   return runner;
 }
 
-test("an engine that leaves gets no more requests once it has said so, the stream goes on", async () => {
+test("an engine that announces its shutdown gets no more requests, and its current stream is completed", async () => {
   await harness.call("/brief/1", { id: "before-leaving" });
   const leaving = getRunner("before-leaving");
   leaving.isLeaving = true;
@@ -95,7 +98,7 @@
   await waitMs(PROPAGATION_MS);
 });
 
-test("a replica that backs off gets no request for as long as it said, others serve meanwhile", async () => {
+test("a replica that asks to back off gets no request for the time it named, while others serve", async () => {
   const behaviours: ReplicaBehaviour[] = ["shed"];
   for (const service of harness.services) {
     service.refused = 0;
@@ -105,9 +108,9 @@
   await harness.call("/safe/1");
   const busy = harness.services.find((service) => service.refused === 1);
   if (!busy) throw new Error("expected one replica that refused");
-  const saidAt = performance.now();
+  const backedOffAt = performance.now();
   const seenBefore = busy.seen.length;
-  while (performance.now() - saidAt < 1_000) {
+  while (performance.now() - backedOffAt < 1_000) {
     assert.is((await harness.call("/safe/1")).status, 200);
   }
   assert.is(busy.seen.length, seenBefore);
@@ -116,15 +119,15 @@
   for (const service of harness.services) service.retryAfterS = undefined;
 });
 
-test("where all back off, callers are refused at once, with the shortest time", async () => {
+test("if all replicas ask to back off, callers are refused at once with the shortest remaining time", async () => {
   const times = [1.6, 0.7];
   harness.services.forEach((service, index) => {
     service.retryAfterS = times[index];
     service.behaviours = ["shed"];
   });
-  const both = () =>
+  const haveBothRejected = () =>
     harness.services.every((service) => service.behaviours.length === 0);
-  await callServiceUntil(both);
+  await callServiceUntil(haveBothRejected);
   const seenBefore = harness.services.map((service) => service.seen.length);
   const startedAt = performance.now();
   const answer = await harness.call("/safe/1", {
@@ -141,7 +144,7 @@
   for (const service of harness.services) service.retryAfterS = undefined;
 });
 
-test("an engine that backs off is not asked for places, and its callers are served elsewhere", async () => {
+test("no permit is requested for an engine that asked to back off, and its callers are served elsewhere", async () => {
   await harness.call("/brief/1", { id: "home" });
   const home = getRunner("home");
   home.retryAfterS = 1.5;
--- a/test/gateway/observation_test.ts
+++ b/test/gateway/observation_test.ts
@@ -1,6 +1,7 @@
 /**
- * Which engines a gateway looks at before it knows its peers: a fleet of hundreds
- * starts at once, and each of them reads the reports of the engines nearby only.
+ * Which engines' reports a gateway reads before it knows its peers. When a
+ * fleet of hundreds starts at once, each gateway reads only the reports of the
+ * engines in its own failure domain.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -10,7 +11,7 @@
 
 const harness = new GatewayHarness();
 const distant = new FakePlatformReplica("i-distant", true);
-/** Time from the start in which peers are not known yet. */
+/** Time after the start during which the peers are not known yet. */
 const UNSETTLED_MS = 2_000;
 
 test.before(async () => {
@@ -23,7 +24,7 @@
   distant.stop();
 });
 
-test("a gateway that has just started looks at the engines nearby, at others only once nobody else does", async () => {
+test("a recently started gateway reads the reports of engines in its own failure domain, and of others once no other gateway does", async () => {
   const started = harness.start({ gateways: 1, engines: 1, services: 1 });
   await waitMs(UNSETTLED_MS);
   assert.is(distant.reportsRead, 0);
