--- a/src/core/view/published_view.ts
+++ b/src/core/view/published_view.ts
@@ -1,17 +1,17 @@
 /**
- * What the platform has published, decoded: the configuration in force, the
- * upstreams that may be used and the declared versions of adapters. Upstreams
- * whose entry vanished while the store was out of reach are kept for a grace
- * period, since live ones register again once the store is back.
+ * The decoded state that the platform has published: the configuration in
+ * force, the registered upstreams and the declared versions of adapters.
+ * Upstreams whose entry disappeared while the store was unreachable are kept
+ * for a grace period, since running ones register again once the store is back.
  */
 import type { Milliseconds } from "../structures.ts";
 import { hashText } from "../hashing.ts";
 
-/** How often a request may run. */
+/** Whether a request may run more than once. */
 export const Repeatability = {
   Idempotent: "idempotent",
   NonIdempotent: "nonIdempotent",
-  /** A stream, which may run again only where it is resumable. */
+  /** A stream; it may run again only if it is resumable. */
   Stream: "stream",
 } as const;
 export type Repeatability = (typeof Repeatability)[keyof typeof Repeatability];
@@ -24,24 +24,27 @@
   pathPrefix: string;
   repeatability: Repeatability;
   isResumable: boolean;
-  /** Longest time that a caller is kept waiting. */
+  /** Longest time that a caller waits. */
   timeoutMs: Milliseconds;
-  /** Time within which the first byte is worth its full value. */
+  /** Time to first byte up to which an answer has its full value. */
   latencyObjectiveMs: Milliseconds;
-  /** Longest pause between a stream's events for which it is still in time; 0 where none is declared. */
+  /**
+   * Longest gap between a stream's events that still meets the objective; 0 if
+   * none is declared.
+   */
   interTokenObjectiveMs: Milliseconds;
   /** 0 is the most urgent. */
   priorityRank: number;
-  /** Upstreams to which one request may be sent, at most. */
+  /** Maximum number of upstreams to which one request may be sent. */
   maxAttempts: number;
-  /** Services by weight; one entry unless the route is split. */
+  /** Services and their weights; one entry unless the route is split. */
   targets: { service: string; weight: number }[];
 }
 
-/** What engines of a service can hold. */
+/** Capacity of each engine of a service. */
 export interface EngineLimits {
   adapterSlots: number;
-  /** Requests in one batch. */
+  /** Maximum number of requests in one batch. */
   batchSize: number;
   /** Tokens that fit into the KV cache. */
   kvCapacityTokens: number;
@@ -50,12 +53,12 @@
   models: ModelLimits[];
 }
 
-/** A base model that engines of a service may hold. */
+/** A base model that engines of a service may load. */
 export interface ModelLimits {
   name: string;
   weightsMb: number;
   adapterCount: number;
-  /** Time of a load from the weight store. */
+  /** Duration of a load from the weight store. */
   loadMs: Milliseconds;
 }
 
@@ -63,11 +66,11 @@
   name: string;
   /** Connections that one upstream accepts from all daemons together. */
   maxConnections: number;
-  /** Undefined for plain services. */
+  /** Undefined if the service's upstreams aren't engines. */
   engine: EngineLimits | undefined;
 }
 
-/** Bounds on what callers may send. */
+/** Limits on callers' requests and connections. */
 export interface CallerLimits {
   maxBodyBytes: number;
   headerTimeoutMs: Milliseconds;
@@ -81,25 +84,31 @@
   limits: CallerLimits;
 }
 
-/** One upstream as it describes itself. */
+/** An upstream as it registered itself. */
 export interface PublishedUpstream {
   id: string;
   service: string;
   /** `IP:port`. */
   address: string;
   failureDomain: string;
-  /** Requests that it runs at once. */
+  /** Maximum number of requests that it runs concurrently. */
   maxConcurrentRequests: number;
   isLeaving: boolean;
-  /** Unix time of its start; 0 when unknown. Tells apart starts under one id. */
+  /**
+   * Unix time of its start, which tells restarts under one id apart; 0 if
+   * unknown.
+   */
   bornAtUnixMs: number;
-  /** Base models that it holds. */
+  /** Base models that it has loaded. */
   models: string[];
-  /** Adapters that it held when it last registered, as `model/adapter` to version. */
+  /**
+   * Adapters that it had loaded when it last registered: `model/adapter` to
+   * version.
+   */
   adapters: Map<string, number>;
 }
 
-/** A change of the published state, decoded. */
+/** A decoded change of the published state. */
 export type PublishedChange =
   | { kind: "configuration"; configuration: PublishedConfiguration }
   | { kind: "upstream"; upstream: PublishedUpstream }
@@ -107,10 +116,16 @@
   | { kind: "adapterVersion"; adapterPath: string; version: number }
   | { kind: "unusable"; key: string; reason: string };
 
-/** Notices of leaving that are kept: replicas of a large site, with some starts each. */
+/**
+ * Maximum number of leaving notices that are kept: the replicas of a large
+ * site, with some restarts each.
+ */
 const MAX_LEAVING_NOTICES = 2_000;
 
-/** Time for which an entry that lapsed during an outage is kept: the platform says about two seconds. */
+/**
+ * How long an entry that lapsed during an outage of the store is kept; the
+ * platform specifies about two seconds.
+ */
 export const LAPSE_GRACE_MS = 2_000;
 
 export class PublishedView {
@@ -118,7 +133,10 @@
   readonly #upstreams = new Map<string, PublishedUpstream>();
   readonly #lapsed = new Map<string, Milliseconds>();
   readonly #adapterVersions = new Map<string, number>();
-  /** Upstreams whose own answers said that they leave, with the start that said so. */
+  /**
+   * Upstreams that said in an answer that they are leaving, with the start time
+   * of the process that said so.
+   */
   readonly #leavingNotices = new Map<string, number>();
   readonly #services = new Map<string, PublishedService>();
   readonly #routesByHost = new Map<string, PublishedRoute[]>();
@@ -128,9 +146,10 @@
   }
 
   /**
-   * Puts a change in force; returns whether it is news that others wait for.
-   * What an upstream holds changes many times a second and is not.
-   * @param isAfterOutage whether the store was out of reach before this change was read.
+   * Applies a change; returns whether other daemons should learn of it. Changes
+   * of an upstream's adapters occur many times a second and don't count.
+   * @param isAfterOutage whether the store was unreachable before this change
+   * was read.
    */
   apply(
     change: PublishedChange,
@@ -157,9 +176,9 @@
   }
 
   /**
-   * Notes that an upstream's own answer said that it leaves. It takes no new work
-   * from then on, whatever the store says, until it registers another start.
-   * Returns whether that is news.
+   * Records that an upstream said in an answer that it is leaving. It gets no
+   * new work from then on, whatever the store says, until it registers with a
+   * later start. Returns whether it was available before.
    */
   recordLeavingNotice(
     { id, bornAtUnixMs }: Pick<PublishedUpstream, "id" | "bornAtUnixMs">,
@@ -181,7 +200,7 @@
     return isRelevant;
   }
 
-  /** Drops entries whose grace has ended; returns their ids. */
+  /** Removes lapsed entries whose grace period has ended; returns their ids. */
   removeLapsed(now: Milliseconds): string[] {
     const expired = [...this.#lapsed]
       .filter(([, until]) => until <= now)
@@ -199,7 +218,10 @@
     return routes.find((route) => path.startsWith(route.pathPrefix));
   }
 
-  /** Returns the service for a request; a split route divides by the hash of the request id. */
+  /**
+   * Returns the service for a request; a split route distributes requests by
+   * the hash of the request id.
+   */
   selectService(
     route: PublishedRoute,
     requestId: string,
@@ -224,14 +246,14 @@
       : undefined;
   }
 
-  /** Returns the upstreams of a service that take new work. */
+  /** Returns the upstreams of a service that accept new work. */
   listServing(service: string): PublishedUpstream[] {
     return [...this.#upstreams.values()].filter((upstream) =>
       upstream.service === service && !upstream.isLeaving
     );
   }
 
-  /** Returns the upstreams that hold adapters and have not left. */
+  /** Returns the registered engines, leaving ones included. */
   listEngines(): PublishedUpstream[] {
     return [...this.#upstreams.values()].filter((upstream) =>
       this.#services.get(upstream.service)?.engine !== undefined
--- a/src/core/view/store_mirror.ts
+++ b/src/core/view/store_mirror.ts
@@ -1,43 +1,50 @@
 /**
- * A copy of what the platform's store publishes under one prefix. It only moves
- * forward: an item of an older revision never replaces a newer one, whichever
- * source brings it, the store itself or a peer that reads it.
+ * A copy of the entries that the platform's store has under one prefix. An
+ * entry is never replaced by an older revision, whether a change comes from the
+ * store itself or from a peer that reads it.
  */
 
-/** One change as the store or a peer tells it. */
+/** One change, as read from the store or a peer. */
 export interface StoreChange {
   key: string;
   /** Store revision of the change. */
   revision: number;
-  /** Raw bytes as base64 text; undefined when the key was removed. */
+  /** Raw bytes as base64 text; undefined if the key was removed. */
   value: string | undefined;
 }
 
-/** What a source knows, complete up to `asOf`. */
+/** Changes from one source, complete up to `asOf`. */
 export interface StoreBatch {
-  /** Whether keys that are not listed do not exist. */
+  /** Whether the batch lists all keys, so that others don't exist. */
   isSnapshot: boolean;
   /** The batch is complete up to this store revision. */
   asOf: number;
   changes: StoreChange[];
 }
 
-/** Removed keys remembered for peers that lag behind. */
+/**
+ * Maximum number of removed keys that are remembered for peers that lag behind.
+ */
 const MAX_TOMBSTONES = 2_000;
 
 export class StoreMirror {
   readonly #items = new Map<string, StoreChange>();
   readonly #tombstones = new Map<string, StoreChange>();
   #asOf = 0;
-  /** Changes up to this revision can be told only as a snapshot. */
+  /**
+   * Removals up to this revision may be forgotten; a peer behind it gets a
+   * snapshot.
+   */
   #compactedRevision = 0;
 
-  /** Store revision up to which this copy is complete; 0 before the first batch. */
+  /**
+   * Store revision up to which this copy is complete; 0 before the first batch.
+   */
   get asOf(): number {
     return this.#asOf;
   }
 
-  /** Takes a batch and returns the changes that are news here. */
+  /** Applies a batch; returns the changes that altered this copy. */
   applyBatch(batch: StoreBatch): StoreChange[] {
     const applied = batch.changes.filter((change) => this.#applyChange(change));
     if (batch.isSnapshot) applied.push(...this.#removeUnlisted(batch));
@@ -45,7 +52,11 @@
     return applied;
   }
 
-  /** Returns what has changed since the revision, for a peer that is behind. */
+  /**
+   * Returns the changes after a revision, for a peer that lags behind; a
+   * snapshot if the peer has no data (revision 0) or removals after its
+   * revision have been forgotten.
+   */
   buildBatchAfter(revision: number): StoreBatch {
     const isSnapshot = revision < this.#compactedRevision || revision === 0;
     const changes = isSnapshot
--- a/src/core/view/sync_peer_selector.ts
+++ b/src/core/view/sync_peer_selector.ts
@@ -1,22 +1,26 @@
 /**
- * Whom a daemon asks for what it lacks of the published view. Load pattern: one
- * large change, a narrow link to the first daemon that has it, and a whole failure
- * domain that asks it at once. Daemons spread over those that have the news, pass
- * over one that did not answer, and turn to the store itself after a failure.
+ * Selects the peer from which a daemon fetches the changes of the published
+ * view that it lacks. Load pattern: one large change, a slow link to the first
+ * daemon that has it, and a whole failure domain that requests it at once.
+ * Daemons spread over the peers that have the change, skip a peer that did not
+ * answer, and read the store itself after a failure.
  */
 import { findRendezvousWinner } from "../hashing.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** A peer that knows more than this daemon. */
+/** A peer that has a newer revision than this daemon. */
 export interface NewerPeer {
   id: string;
   ip: string;
-  /** Store revision that it has. */
+  /** Store revision that the peer has. */
   revision: number;
   isSameDomain: boolean;
 }
 
-/** Time for which a peer that did not answer is passed over: a large answer on a narrow link takes about as long. */
+/**
+ * How long a peer that did not answer is skipped: a large answer over a slow
+ * link takes about as long.
+ */
 const FAILED_PEER_EXCLUSION_MS = 2_000;
 
 export class SyncPeerSelector {
@@ -29,12 +33,18 @@
     this.#selfId = selfId;
   }
 
-  /** Whether a peer has failed since this daemon last knew as much as its peers. */
+  /**
+   * Whether a peer has failed to answer since this daemon was last up to date
+   * with all peers; the store has to be read then.
+   */
   get needsStore(): boolean {
     return this.#hasFailed;
   }
 
-  /** Returns the peer to ask next, a near one where there is one, or undefined when all have failed. */
+  /**
+   * Returns the peer to ask next, preferably one in the same failure domain, or
+   * undefined if all have failed recently.
+   */
   choosePeer(
     peers: readonly NewerPeer[],
     now: Milliseconds,
@@ -57,7 +67,7 @@
     this.#hasFailed = true;
   }
 
-  /** Notes that nobody is known to be ahead. */
+  /** Records that no peer is known to have a newer revision. */
   recordCaughtUp(): void {
     this.#hasFailed = false;
     this.#failedAt.clear();
--- a/src/gateway/decision_log.ts
+++ b/src/gateway/decision_log.ts
@@ -1,16 +1,17 @@
 /**
- * Structured log lines on standard output, one JSON object each, over loglevel.
- * Lines are gathered and written together; beyond the bound of a period they are
- * dropped and counted, so that a flood of decisions neither blocks nor grows.
+ * Structured logging to standard output over loglevel, one JSON object per
+ * line. Lines are buffered and flushed periodically. Lines beyond the byte
+ * limit of a flush are dropped and counted, so that a burst of decisions
+ * neither blocks the process nor grows its memory.
  */
 import process from "node:process";
 import loglevel from "loglevel";
 import type { LogLevel } from "../settings/log_level.ts";
 import type { Milliseconds } from "../core/structures.ts";
 
-/** Time for which lines are gathered. */
+/** Time from the first buffered line to the flush. */
 const FLUSH_INTERVAL_MS = 250;
-/** Bytes written in one period at most; about 640 KB a second. */
+/** Most bytes buffered for one flush; about 640 KB a second. */
 const MAX_BYTES_PER_FLUSH = 160 * 1024;
 
 export class DecisionLog {
@@ -34,22 +35,24 @@
     this.#log.setLevel(level, false);
   }
 
-  /** Something ordinary that is only wanted when looking closely. */
+  /** Logs a routine event that is needed only for debugging. */
   debug(event: string, fields: object): void {
     this.#log.debug(event, fields);
   }
 
-  /** A decision, or a change of what the process believes. */
+  /**
+   * Logs a decision, or a change of this process's view of other components.
+   */
   info(event: string, fields: object): void {
     this.#log.info(event, fields);
   }
 
-  /** Something that should not happen, though it is provided for. */
+  /** Logs an unexpected condition that the process handles. */
   warn(event: string, fields: object): void {
     this.#log.warn(event, fields);
   }
 
-  /** Writes what is gathered. */
+  /** Writes the buffered lines, unless standard output signals backpressure. */
   flush(): void {
     clearTimeout(this.#timer);
     this.#timer = undefined;
@@ -94,7 +97,7 @@
   }
 }
 
-/** Returns a time span rounded for the log. */
+/** Rounds a duration to a tenth of a millisecond, for the log. */
 export function roundMs(durationMs: Milliseconds): number {
   return Math.round(durationMs * 10) / 10;
 }
--- a/src/gateway/engine_task.ts
+++ b/src/gateway/engine_task.ts
@@ -1,6 +1,10 @@
 /**
- * Owns the holders of engines: decides which this daemon should have, carries out
- * what they ask for and passes their answers on.
+ * This daemon's part in engine ownership. An engine's owner is the one daemon
+ * that gives its load and eviction orders and grants permits to run requests on
+ * it. The task keeps an EngineOwner for each published engine, decides which
+ * engines this daemon should own or observe, carries out the effects that the
+ * owners return, and passes the answers of engines and messages of peers to
+ * them.
  */
 import {
   DenialReason,
@@ -29,14 +33,19 @@
 import { waitMs } from "./wait.ts";
 import type { EngineControl } from "./ports.ts";
 
-/** Period in which holders look at time-outs and at who should hold. */
+/**
+ * Interval at which owners check time-outs and whether this daemon should own
+ * their engines.
+ */
 const TICK_INTERVAL_MS = 150;
-/** Period in which a daemon looks which engines it should hold. */
+/** Interval at which a daemon recomputes which engines it should own. */
 const ROLES_INTERVAL_MS = 400;
-/** Longest time for which a stop waits for an order's answer. */
+/**
+ * Longest time that a graceful stop waits for the answers to orders in flight.
+ */
 const LAST_ORDER_TIMEOUT_MS = 400;
 const LAST_ORDER_POLL_INTERVAL_MS = 10;
-/** Shortest time between two looks. */
+/** Shortest delay before a tick. */
 const MIN_TICK_DELAY_MS = 4;
 
 export interface EngineTaskOptions {
@@ -44,24 +53,32 @@
   termMs: Milliseconds;
   view: PublishedView;
   fleet: FleetView;
-  /** Where peers are looked for first; all of them are heard where nobody is cut off. */
+  /**
+   * Addresses that are contacted first to discover peers. A daemon that isn't
+   * partitioned from the fleet hears from all of them.
+   */
   seedIps: readonly string[];
   fenceClock: FenceClock;
   control: EngineControl;
   log: DecisionLog;
   metrics: GatewayMetrics;
-  /** Tells peers of engines that are newly held here, without waiting for the next heartbeat. */
+  /**
+   * Tells peers which engines this daemon now owns, without waiting for the
+   * next periodic heartbeat.
+   */
   announceOwnership: () => void;
-  /** Sends until the peer acknowledges; resolves to false when it does not. */
+  /**
+   * Retransmits until the peer acknowledges; resolves to false if it does not.
+   */
   deliver: (peerId: string, message: GatewayMessage) => Promise<boolean>;
-  /** Sends what may be lost. */
+  /** Sends a message once, without acknowledgement; it may be lost. */
   sendOnce: (peerId: string, message: GatewayMessage) => void;
 }
 
 export class EngineTask {
   readonly #options: EngineTaskOptions;
   readonly #owners = new Map<string, EngineOwner>();
-  /** Asks for places at engines, here or at other daemons. */
+  /** Requests permits from engines' owners, here or on other daemons. */
   readonly permits: PermitClient;
   readonly #pauseDetector = new PauseDetector(performance.now(), Date.now());
   readonly #activeEngines = new Set<string>();
@@ -105,7 +122,10 @@
     );
   }
 
-  /** Returns the engines that were held here since the start, undefined when that was long ago. */
+  /**
+   * Returns the engines that this daemon has owned at any time since its start,
+   * or undefined once it no longer counts as recently started.
+   */
   listOwnedSinceStart(now: Milliseconds): string[] | undefined {
     return this.#roles.listOwnedSinceStart(now);
   }
@@ -118,7 +138,11 @@
     return count;
   }
 
-  /** Loads from the weight store that go at full speed together, as found here; undefined before any was seen. */
+  /**
+   * Returns how many concurrent fetches (loads from the weight store) run at
+   * full speed, as estimated from this daemon's own; undefined before it has
+   * observed any.
+   */
   getFullSpeedFetches(): number | undefined {
     return this.#fetchLimiter.measuredLimit;
   }
@@ -130,9 +154,9 @@
   }
 
   /**
-   * Returns whether it is worth asking for a place at the engine. In a small
-   * fleet every living holder is known; in a large one some are not yet, and are
-   * asked for unless there was none a moment ago.
+   * Returns whether a permit for the engine is worth requesting. In a small
+   * fleet the owner of every owned engine is known. In a large one it may not
+   * be; a permit is then requested unless the engine had no owner a moment ago.
    */
   canRequestPermit(engineId: string): boolean {
     const now = performance.now();
@@ -143,7 +167,10 @@
       (!fleet.isFullMesh() && !this.permits.isUnowned(engineId, now));
   }
 
-  /** Returns the time until engines without a holder may be claimed, as far as is known here. */
+  /**
+   * Returns the time until this daemon may claim the next engine that it
+   * doesn't own, as far as is known here; at most one ownership term.
+   */
   estimateClaimMs(): Milliseconds {
     const now = performance.now();
     let soonestMs = this.#options.termMs;
@@ -168,19 +195,19 @@
       case "permitReleased":
         this.#getOwned(message.engineId)
           ?.admission.releasePermit(message.permitId, now);
-        this.#pump(message.engineId, now);
+        this.#serveQueue(message.engineId, now);
         break;
       case "firstToken":
         this.#getOwned(message.engineId)
           ?.admission.recordFirstToken(message.permitId, now);
-        this.#pump(message.engineId, now);
+        this.#serveQueue(message.engineId, now);
         break;
       case "permitUnusable":
         this.#recordUnusable(from, message, now);
         break;
       case "runsHeld":
         this.#getOwned(message.engineId)?.adoptRuns(from, message, now);
-        this.#pump(message.engineId, now);
+        this.#serveQueue(message.engineId, now);
         break;
       case "handover":
         this.#acceptHandover(from, message.engineId, message.handover, now);
@@ -190,12 +217,17 @@
     }
   }
 
-  /** Tells new holders of the runs here, as soon as a peer says that it is one. */
+  /**
+   * Reports this daemon's runs on an engine to its new owner as soon as a
+   * heartbeat has announced the owner.
+   */
   notifyNewOwners(now: Milliseconds): void {
     this.permits.reportRunsToNewOwners(now);
   }
 
-  /** Hands every engine over to the daemon that should hold it next. */
+  /**
+   * Hands every owned engine over to the daemon that ranks next as its owner.
+   */
   async stop(): Promise<void> {
     this.#isStopping = true;
     clearTimeout(this.#timer);
@@ -219,7 +251,10 @@
     await Promise.all(deliveries);
   }
 
-  /** Waits for the orders under way, so that their engines can be handed over. */
+  /**
+   * Stops giving orders and waits for those in flight: an engine can't be
+   * handed over while the outcome of an order is unknown.
+   */
   async #awaitPendingOrders(): Promise<void> {
     const endsAt = performance.now() + LAST_ORDER_TIMEOUT_MS;
     const hasPendingOrders = () =>
@@ -230,7 +265,7 @@
     }
   }
 
-  /** Looks no later than at the given time. */
+  /** Schedules a tick no later than the given time. */
   #scheduleTick(at: Milliseconds): void {
     if (this.#isStopping || at >= this.#nextTickAt) return;
     clearTimeout(this.#timer);
@@ -249,14 +284,18 @@
     for (const engineId of this.#activeEngines) {
       const owner = this.#owners.get(engineId);
       if (!owner) continue;
-      this.#runEffects(owner.tick(this.#describeSituation(owner, now), now));
+      this.#runEffects(owner.tick(this.#describeContext(owner, now), now));
       this.#roles.recordOwned(owner, now);
       this.#scheduleTick(owner.getNextDueAt());
     }
     this.#scheduleTick(now + TICK_INTERVAL_MS);
   }
 
-  /** After a pause, holders prove their right anew before they load anything. */
+  /**
+   * After a pause of this process, owners have to prove their right to give
+   * orders again before they load anything, since another daemon may have
+   * claimed the engines meanwhile.
+   */
   #checkPause(now: Milliseconds): void {
     if (!this.#pauseDetector.hasPaused(now, Date.now())) return;
     this.#options.log.warn("pauseDetected", { held: this.listOwnedEngines() });
@@ -264,7 +303,9 @@
     for (const owner of this.#owners.values()) owner.recordPause();
   }
 
-  /** Finds the engines that this daemon holds, should hold or should observe. */
+  /**
+   * Recomputes the engines that this daemon owns, should own or should observe.
+   */
   #updateRoles(now: Milliseconds): void {
     if (now - this.#rolesUpdatedAt < ROLES_INTERVAL_MS) return;
     this.#rolesUpdatedAt = now;
@@ -273,19 +314,22 @@
     this.#activeEngines.clear();
     const fetchShare = this.#computeFetchShare(now);
     for (const owner of this.#owners.values()) {
-      const { isDesiredOwner: isWanted, isCandidate } = this.#describeSituation(
+      const { isDesiredOwner, isCandidate } = this.#describeContext(
         owner,
         now,
         fetchShare,
       );
-      const isActive = isWanted || isCandidate || owner.isOwner();
+      const isActive = isDesiredOwner || isCandidate || owner.isOwner();
       if (isActive) this.#activeEngines.add(owner.engineId);
     }
   }
 
-  /** Keeps a holder for each engine, and none for those that are gone. */
+  /**
+   * Creates an EngineOwner for each newly published engine, updates the
+   * existing ones, and removes those of engines that are gone.
+   */
   #reconcileOwners(): void {
-    const { view, termMs, fenceClock: fenceClock } = this.#options;
+    const { view, termMs, fenceClock } = this.#options;
     const engines = view.listEngines();
     const ids = new Set(engines.map((engine) => engine.id));
     this.#fetchLimiter.setEngineCount(engines.length);
@@ -318,7 +362,7 @@
     }
   }
 
-  #describeSituation(
+  #describeContext(
     owner: EngineOwner,
     now: Milliseconds,
     fetchShare = this.#computeFetchShare(now),
@@ -338,7 +382,11 @@
     }, now);
   }
 
-  /** Draws an adapter by host and engine, for orders that prove the right to give them. */
+  /**
+   * Picks an adapter by a hash of this daemon's id and the engine's, for an
+   * order that proves this daemon's right to give orders: other daemons hardly
+   * ever pick the same one.
+   */
   #selectOwnAdapter(engineId: string, model: string): string | undefined {
     const { view, selfId, control } = this.#options;
     const engine = view.getUpstream(engineId);
@@ -361,10 +409,14 @@
       return;
     }
     this.#runEffects(owner.requestPermit(request, now), request.permitId);
-    this.#pump(engineId, now);
+    this.#serveQueue(engineId, now);
   }
 
-  /** Tells the daemon that asks who holds the engine, and when nobody does, from when it may be claimed. */
+  /**
+   * Denies a permit for an engine that this daemon doesn't own. The answer
+   * names the owner if it is known, and the time until the engine may be
+   * claimed.
+   */
   #refuseAsNotOwner(
     engineId: string,
     request: PermitRequest,
@@ -394,7 +446,7 @@
     const owner = this.#getOwned(message.engineId);
     if (!owner) return;
     owner.recordUnusable({ ...message, holder: from }, now);
-    this.#pump(message.engineId, now);
+    this.#serveQueue(message.engineId, now);
   }
 
   #acceptHandover(
@@ -416,17 +468,20 @@
     this.#roles.recordOwned(owner, now);
   }
 
-  #pump(engineId: string, now: Milliseconds): void {
+  #serveQueue(engineId: string, now: Milliseconds): void {
     const owner = this.#getOwned(engineId);
     if (!owner) return;
     this.#fetchLimiter.recordLoads(owner, now);
     this.#runEffects(
-      owner.serveQueue(this.#describeSituation(owner, now), now),
+      owner.serveQueue(this.#describeContext(owner, now), now),
     );
     this.#scheduleTick(owner.getNextDueAt());
   }
 
-  /** Returns who gives each engine's orders; what this daemon holds goes before others' word. */
+  /**
+   * Returns the owner of each engine as far as is known. For engines owned here
+   * this takes precedence over what peers have announced.
+   */
   #listOwners(now: Milliseconds): ReadonlyMap<string, string> {
     const owners = new Map(this.#options.fleet.listOwners(now));
     for (const engineId of this.listOwnedEngines()) {
@@ -440,7 +495,12 @@
     return owner?.isOwner() ? owner : undefined;
   }
 
-  /** @param requestedPermitId permit that was asked for in this turn: where its answer is lost it is asked for again. */
+  /**
+   * Carries out the effects that an owner has returned.
+   * @param requestedPermitId permit whose request is being handled. Its answer
+   * is sent once, without retransmission: if it is lost, the acknowledgement of
+   * the request is lost with it, and the requester sends the request again.
+   */
   #runEffects(
     effects: readonly EngineOwnerEffect[],
     requestedPermitId?: string,
@@ -487,7 +547,7 @@
         });
       }
       this.#runEffects(owner.recordReport(report, performance.now()));
-      this.#pump(engineId, performance.now());
+      this.#serveQueue(engineId, performance.now());
     } catch (error) {
       owner.recordReportFailure();
       log.info("reportUnread", {
@@ -526,7 +586,7 @@
     const now = performance.now();
     if (!owner) return;
     this.#runEffects(owner.recordOrderAnswer(answer, now));
-    this.#pump(engineId, now);
+    this.#serveQueue(engineId, now);
   }
 
   #sendAnswer(
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -1,6 +1,7 @@
 /**
- * One gateway: the daemon in front of replicas of a platform whose store can
- * only be read. Puts the tasks together, sends heartbeats, starts and stops.
+ * The gateway daemon: runs in front of the replicas of a platform whose store
+ * it may only read. Wires the tasks together, sends heartbeats to peers, and
+ * handles start, readiness and graceful stop.
  */
 import { randomBytes } from "node:crypto";
 import { createServer, type Server } from "node:http";
@@ -34,27 +35,48 @@
 import { waitMs } from "./wait.ts";
 import { ViewSynchronizer } from "./view_synchronizer.ts";
 
-/** Crashes of upstreams after which a request is refused. */
+/** Number of upstream crashes caused by a request after which it is refused. */
 const MAX_STRIKES = 4;
-/** Time for which a crashing request is remembered: it comes again within seconds. */
+/**
+ * How long a request that crashed an upstream is remembered: callers send it
+ * again within seconds.
+ */
 const STRIKE_LIFETIME_MS = 60_000;
-/** Strikes named in one heartbeat, so that it stays one datagram. */
+/** Most strikes in one heartbeat, which has to fit into one datagram. */
 const MAX_HEARTBEAT_STRIKES = 6;
-/** Failing upstreams named in one heartbeat, so that it stays one datagram. */
+/**
+ * Most failing upstreams in one heartbeat, which has to fit into one datagram.
+ */
 const MAX_HEARTBEAT_FAILING = 12;
-/** Time for which news is gathered before peers are told. */
+/**
+ * Delay of an early heartbeat, so that changes in quick succession are sent in
+ * one.
+ */
 const HEARTBEAT_COALESCE_MS = 30;
-/** Gap between heartbeats from which this process is taken to have been paused. */
+/**
+ * Time between two heartbeats beyond which this process is considered to have
+ * been paused.
+ */
 const PAUSE_THRESHOLD_MS = 2_500;
-/** Time after the notice of a stop in which the balancer learns of it: two questions a second apart. */
+/**
+ * Time from the start of a graceful stop until the load balancer has noticed
+ * that this gateway isn't ready: two readiness probes, one second apart.
+ */
 const READINESS_PROPAGATION_MS = 2_500;
-/** Length up to which an answer is always taken in: the users' are some KB long. */
+/**
+ * Size up to which a buffered answer doesn't count against the shared budget.
+ * The users' answers are a few KB long.
+ */
 const UNCOUNTED_ANSWER_BYTES = 64 * 1024;
-/** Bound on what longer answers take together: a tenth of the smallest hosts' 250 MB. */
+/**
+ * Budget that all buffered answers share for the bytes beyond that size: a
+ * tenth of the 250 MB that the smallest hosts have.
+ */
 const ANSWER_BUDGET_BYTES = 24 * 1024 * 1024;
-/** Period in which a stopping gateway looks whether it is idle. */
+/** Interval at which a stopping gateway checks whether it is idle. */
 const DRAIN_POLL_INTERVAL_MS = 50;
 
+/** The implementations of ports.ts for one platform. */
 export interface GatewayPlatform {
   dialect: HeaderCodec;
   decoder: ChangeDecoder;
@@ -80,7 +102,7 @@
   readonly #upstreamClient = new UpstreamClient();
   readonly #callers: CallerTask;
   readonly #incarnation = randomBytes(6).toString("hex");
-  readonly #dialect: HeaderCodec;
+  readonly #headerCodec: HeaderCodec;
   #readinessServer: Server | undefined;
   #timer: ReturnType<typeof setTimeout> | undefined;
   readonly #startedAt = performance.now();
@@ -92,7 +114,7 @@
   constructor(settings: GatewaySettings, platform: GatewayPlatform) {
     const { host, failureDomain, peers } = settings;
     this.#settings = settings;
-    this.#dialect = platform.dialect;
+    this.#headerCodec = platform.dialect;
     this.#log = new DecisionLog(host, settings.logLevel);
     const { host: ip, port } = parseAddress(peers.listen);
     this.#fleet = new FleetView({ id: host, ip, failureDomain }, Date.now());
@@ -180,7 +202,10 @@
     });
   }
 
-  /** Finishes what was read, hands engines over and resolves when the process may exit. */
+  /**
+   * Stops gracefully: hands the engines over, finishes the requests already
+   * read, and resolves when the process may exit.
+   */
   async stop(): Promise<void> {
     if (this.#isStopping) return;
     this.#isStopping = true;
@@ -208,7 +233,7 @@
     this.#log.flush();
   }
 
-  /** Puts what may change without a restart in force. */
+  /** Applies the settings that may change without a restart. */
   reload(settings: GatewaySettings): void {
     this.#log.setLevel(settings.logLevel);
     this.#log.info("reloaded", { logLevel: settings.logLevel });
@@ -220,7 +245,7 @@
     this.#log.warn("internalError", { step, detail });
   }
 
-  /** Writes the log lines that are gathered, before the process ends. */
+  /** Writes the buffered log lines before the process exits. */
   flushLog(): void {
     this.#log.flush();
   }
@@ -228,7 +253,7 @@
   #listenForReadiness(address: string): Promise<void> {
     const { host, port } = parseAddress(address);
     const server = createServer((request, response) => {
-      const isReadyPath = request.url === this.#dialect.readyPath;
+      const isReadyPath = request.url === this.#headerCodec.readyPath;
       const status = !isReadyPath ? 404 : this.#updateReadiness() ? 200 : 503;
       response.writeHead(status, { "Content-Length": 0 }).end();
     });
@@ -265,6 +290,11 @@
     return this.#fleet.getIntervalMs(now - this.#startedAt, now);
   }
 
+  /**
+   * Sends a heartbeat to the targets of this period, and to all seeds while
+   * there are fewer targets than seeds. A heartbeat with a promise says within
+   * which time the next one follows.
+   */
   #sendHeartbeats(): void {
     const now = performance.now();
     const sinceLastMs = now - this.#lastHeartbeatAt;
@@ -296,7 +326,10 @@
     this.#updateGauges(now);
   }
 
-  /** Tells peers of news without waiting for the next period. */
+  /**
+   * Schedules a heartbeat before the next periodic one, so that peers learn of
+   * a change early.
+   */
   #scheduleEarlyHeartbeats(): void {
     if (this.#isHeartbeatScheduled) return;
     this.#isHeartbeatScheduled = true;
@@ -375,7 +408,8 @@
       incarnation: heartbeat.incarnation,
       isLeaving: heartbeat.isLeaving,
     });
-    // A newcomer knows hardly anybody; whoever it reached tells it at once.
+    // A recently started peer knows few members, so it gets a heartbeat at
+    // once.
     if (heartbeat.isLeaving || this.#isStopping) return;
     this.#peers.send(heartbeat.sender.ip, this.#buildHeartbeat(false, now));
   }
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -1,9 +1,12 @@
-/** Counters and latency histograms of the gateway, as text on the metrics address. */
+/**
+ * Counters, gauges and latency histograms of the gateway, served in the
+ * Prometheus text format.
+ */
 import { createServer, type Server } from "node:http";
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Milliseconds } from "../core/structures.ts";
 
-/** Upper bounds of the histograms' buckets, in milliseconds. */
+/** Upper bounds of the histogram buckets, in milliseconds. */
 const LATENCY_BUCKETS_MS = [
   5,
   10,
@@ -19,7 +22,7 @@
   15_000,
 ];
 
-/** What each metric counts or measures; docs/OPERATIONS.md holds the same table. */
+/** Help text of each metric; docs/OPERATIONS.md contains the same table. */
 export const GATEWAY_METRICS = {
   requests: "Callers' requests on known routes, by kind",
   attempts: "Attempts at upstreams, by outcome",
@@ -58,7 +61,7 @@
   readonly #gauges = new Map<string, Gauge>();
   #server: Server | undefined;
 
-  /** Counts one event under a name, and for a reason. */
+  /** Increments a counter, labelled with a reason. */
   count(name: GatewayMetric, reason: string): void {
     let counter = this.#counters.get(name);
     if (!counter) {
@@ -73,7 +76,7 @@
     counter.inc({ reason });
   }
 
-  /** Records a time span of a kind of request. */
+  /** Records a duration in a histogram, labelled with the kind of request. */
   measure(name: GatewayMetric, kind: string, durationMs: Milliseconds): void {
     let histogram = this.#histograms.get(name);
     if (!histogram) {
--- a/src/gateway/peer_batch.ts
+++ b/src/gateway/peer_batch.ts
@@ -1,16 +1,20 @@
 /**
- * How gateways pass on what the store published: a batch of changes, packed. Values
- * are bytes as Latin-1 text, which packs better than base64.
+ * Encoding in which gateways pass changes of the published store entries to
+ * each other: gzipped JSON. Values are the raw bytes as Latin-1 text, which
+ * compresses better than base64.
  */
 import { Buffer } from "node:buffer";
 import { gunzipSync, gzipSync } from "node:zlib";
 import * as z from "zod";
 import type { StoreBatch } from "../core/view/store_mirror.ts";
 
-/** Longest batch that is unpacked: entries of 900 hosts' upstreams, or a configuration of 4 MB in base64. */
+/**
+ * Limit on the decompressed size of a batch: the upstream entries of 900 hosts,
+ * or a configuration of 4 MB in base64.
+ */
 const MAX_DECOMPRESSED_BYTES = 24 * 1024 * 1024;
 
-/** What a peer answers. */
+/** A peer's answer to a request for changes of the published view. */
 export interface PeerBatch {
   batch: StoreBatch;
   isAfterOutage: boolean;
@@ -35,7 +39,10 @@
   );
 }
 
-/** Throws where the bytes are no packed batch, or too long a one. */
+/**
+ * Throws if the bytes aren't a valid batch or exceed the decompressed size
+ * limit.
+ */
 export function decodePeerBatch(bytes: Buffer): PeerBatch {
   const text = gunzipSync(bytes, { maxOutputLength: MAX_DECOMPRESSED_BYTES });
   const peerBatch = peerBatchSchema.parse(JSON.parse(text.toString()));
--- a/src/gateway/peer_message_decoder.ts
+++ b/src/gateway/peer_message_decoder.ts
@@ -1,8 +1,8 @@
 /**
- * Checks datagrams of other gateways at the edge. Anybody may send any bytes: only
- * a whole envelope with a message of known shape, in which the sender speaks for
- * itself, gets further. Unknown fields are left out, so that a later version's
- * messages are understood.
+ * Validates datagrams from other gateways at the process boundary. Anyone may
+ * send arbitrary bytes: only a complete envelope is accepted whose message
+ * matches its schema and names the same sender as the envelope. Unknown fields
+ * are ignored, so that messages of later versions can be read.
  */
 import type { Buffer } from "node:buffer";
 import { Err, Ok, type Result } from "ts-results-es";
@@ -10,29 +10,31 @@
 import { DenialReason } from "../core/admission/admission_controller.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
 
-/** What goes into one datagram. */
+/** The content of one datagram. */
 export interface Envelope {
-  /** Sender's id and incarnation. */
+  /** Id of the sender; `incarnation` identifies the start of its process. */
   from: string;
   incarnation: string;
-  /** Number to acknowledge; absent for messages sent once. */
+  /** Sequence number to acknowledge; absent for messages that are sent once. */
   number?: number | undefined;
-  /** Numbers of the receiver's messages that have come. */
+  /**
+   * Sequence numbers of the receiver's messages that the sender has received.
+   */
   acknowledges?: number[] | undefined;
   message?: GatewayMessage | undefined;
 }
 
 /** Why a datagram is dropped. */
 export const DropReason = {
-  /** No JSON text. */
+  /** Not valid JSON. */
   Unreadable: "unreadable",
-  /** A field is missing, or of another type. */
+  /** A field is missing or has the wrong type. */
   Invalid: "invalid",
-  /** A message that this version doesn't know. */
+  /** The message is of a kind that this version doesn't know. */
   UnknownKind: "unknownKind",
-  /** It speaks for another gateway than the one that sent it. */
+  /** The message names another gateway as its sender than the envelope does. */
   ForeignSender: "foreignSender",
-  /** It is valid, and its handling failed. */
+  /** The message is valid, but its handler threw an error. */
   HandlerFault: "handlerFault",
 } as const;
 export type DropReason = (typeof DropReason)[keyof typeof DropReason];
@@ -112,7 +114,7 @@
 
 const engineId = z.string();
 const permitId = z.string();
-const messageOptions = [
+const messageSchemas = [
   z.object({ kind: z.literal("heartbeat"), heartbeat: heartbeatSchema }),
   z.object({
     kind: z.literal("permitRequest"),
@@ -157,17 +159,17 @@
 };
 const envelopeSchema: z.ZodType<Envelope> = z.object({
   ...envelopeFields,
-  message: z.discriminatedUnion("kind", messageOptions).optional(),
+  message: z.discriminatedUnion("kind", messageSchemas).optional(),
 });
 const unknownKindSchema = z.object({
   ...envelopeFields,
   message: z.object({ kind: z.string() }),
 });
 const KNOWN_KINDS: ReadonlySet<string> = new Set(
-  messageOptions.map((option) => option.shape.kind.value),
+  messageSchemas.map((schema) => schema.shape.kind.value),
 );
 
-/** Returns the envelope of a datagram, or why it is none. */
+/** Decodes a datagram; returns the envelope, or the reason to drop it. */
 export function decodeEnvelope(bytes: Buffer): Result<Envelope, DropReason> {
   let value: unknown;
   try {
@@ -190,7 +192,10 @@
     : DropReason.Invalid;
 }
 
-/** Heartbeats and questions name their sender once more: an answer goes to that name. */
+/**
+ * Heartbeats and permit requests name their sender again, and answers go to
+ * that name, so it has to be the envelope's sender.
+ */
 function hasMatchingSender({ from, message }: Envelope): boolean {
   switch (message?.kind) {
     case "heartbeat":
--- a/src/gateway/peer_messages.ts
+++ b/src/gateway/peer_messages.ts
@@ -1,4 +1,4 @@
-/** Messages between gateways, one datagram each. */
+/** Messages between gateways, each sent in one datagram. */
 import type {
   AdoptedRun,
   PermitAnswer,
@@ -12,20 +12,29 @@
   | { kind: "heartbeat"; heartbeat: Heartbeat }
   | { kind: "permitRequest"; engineId: string; request: PermitRequest }
   | { kind: "permitAnswer"; engineId: string; answer: PermitAnswer }
-  /** The run is over, or the place is no longer wanted. */
+  /** The run has ended, or the permit is no longer needed. */
   | { kind: "permitReleased"; engineId: string; permitId: string }
-  /** The engine has read the prompt. */
+  /** The engine has processed the prompt and produced the first token. */
   | { kind: "firstToken"; engineId: string; permitId: string }
-  /** The engine did not run the request: its load was not done, or it lacks the adapter. */
+  /**
+   * The engine did not run the request, because the adapter's load wasn't
+   * complete or the engine lacks the adapter.
+   */
   | {
     kind: "permitUnusable";
     engineId: string;
     permitId: string;
     isMisdirected: boolean;
     delayMs: Milliseconds;
-    /** Time for which the engine wants no request of the sender, 0 when it named none. */
+    /**
+     * How long the engine asked the sender to send it no requests; 0 if it did
+     * not ask.
+     */
     backoffMs: Milliseconds;
   }
-  /** Some of the runs, `total` in all, that the sender has at an engine whose holder has changed. */
+  /**
+   * Some of the sender's runs on an engine whose owner has changed. `total`
+   * counts all of them, which may be sent in several messages.
+   */
   | { kind: "runsHeld"; engineId: string; runs: AdoptedRun[]; total: number }
   | { kind: "handover"; engineId: string; handover: OwnershipHandover };
--- a/src/gateway/peer_task.ts
+++ b/src/gateway/peer_task.ts
@@ -1,9 +1,10 @@
 /**
- * Owns the datagram socket between gateways. Heartbeats, answers at once and what
- * may be lost are sent once; other messages are repeated until they are
- * acknowledged, and handled once, questions each time they come. There is no
- * connection that could go silent. What is no valid message is counted and
- * dropped.
+ * The message transport between gateways, over UDP. Heartbeats, immediate
+ * answers and messages that may be lost are sent once. Other messages are
+ * retransmitted until they are acknowledged, and duplicates are discarded,
+ * except for permit requests, which are handled each time. UDP has no
+ * connections that could hang unnoticed. Datagrams without a valid message are
+ * counted and dropped.
  */
 import { createSocket, type Socket } from "node:dgram";
 import { Buffer } from "node:buffer";
@@ -18,11 +19,17 @@
 } from "./peer_message_decoder.ts";
 import type { GatewayMessage } from "./peer_messages.ts";
 
-/** Times after the first sending at which a message is sent again: loss is rare, a way takes milliseconds. */
+/**
+ * Times after the first transmission at which a message is retransmitted. Loss
+ * is rare, and the latency between gateways is a few milliseconds.
+ */
 const RESEND_OFFSETS_MS: readonly Milliseconds[] = [25, 60, 120, 250];
-/** Numbers of messages remembered, so that a repeated one is handled once. */
+/** Most message numbers that are remembered to recognise duplicates. */
 const MAX_SEEN_MESSAGES = 4_000;
-/** Time between two log lines on datagrams dropped for one reason: anybody may send any number of them. */
+/**
+ * Shortest time between log lines on datagrams dropped for the same reason,
+ * since anyone may send any number of them.
+ */
 const DROP_LOG_INTERVAL_MS = 1_000;
 
 interface PendingMessage {
@@ -48,7 +55,10 @@
   });
   readonly #pending = new Map<number, PendingMessage>();
   readonly #seenMessages = new Set<string>();
-  /** Numbers to acknowledge, by the sender's IP; they go with a message that answers at once, or alone. */
+  /**
+   * Message numbers to acknowledge, by the sender's IP address. They are sent
+   * with an immediate answer, or else on their own.
+   */
   readonly #pendingAcks = new Map<string, number[]>();
   #ackTimer: ReturnType<typeof setImmediate> | undefined;
   readonly #dropsLoggedAt = new Map<DropReason, Milliseconds>();
@@ -64,12 +74,15 @@
     });
   }
 
-  /** Rejects when the port is taken: a gateway that hears no peers must not start. */
+  /**
+   * Rejects if the port is in use: a gateway that can't hear its peers must not
+   * start.
+   */
   listen(): Promise<void> {
     const { ip, port } = this.#options;
     return new Promise((resolve, reject) => {
       const fail = (error: Error): void => {
-        const step = { step: "bind the peers' socket", peer: `${ip}:${port}` };
+        const step = { step: "bind the peer socket", peer: `${ip}:${port}` };
         reject(new StepError(describeError(error), step));
       };
       this.#socket.once("error", fail);
@@ -80,12 +93,12 @@
     });
   }
 
-  /** Sends a message once. */
+  /** Sends a message once, without acknowledgement. */
   send(ip: string, message: GatewayMessage): void {
     this.#write(ip, this.#encode(ip, { message }));
   }
 
-  /** Sends until the peer acknowledges; returns whether it did. */
+  /** Retransmits until the peer acknowledges; resolves to whether it did. */
   deliver(ip: string, message: GatewayMessage): Promise<boolean> {
     this.#lastNumber += 1;
     const number = this.#lastNumber;
@@ -180,7 +193,8 @@
 
   #scheduleAck(ip: string, number: number): void {
     this.#pendingAcks.set(ip, [...this.#pendingAcks.get(ip) ?? [], number]);
-    // Still in this turn of the loop: a timer would wake the process once more.
+    // Runs within this iteration of the event loop; a timer would wake the
+    // process once more.
     this.#ackTimer ??= setImmediate(() => {
       this.#ackTimer = undefined;
       for (const peerIp of [...this.#pendingAcks.keys()]) {
@@ -189,7 +203,7 @@
     });
   }
 
-  /** Returns whether the message has not been seen yet. */
+  /** Remembers a message; returns whether it was not seen before. */
   #recordSeen(key: string): boolean {
     if (this.#seenMessages.has(key)) return false;
     this.#seenMessages.add(key);
@@ -201,12 +215,19 @@
   }
 }
 
-/** A question that comes again is answered again: its first answer may have been lost with the acknowledgement. */
+/**
+ * Returns whether duplicates of a message are handled, too. A repeated permit
+ * request is answered again, since the first answer may have been lost together
+ * with the acknowledgement.
+ */
 function needsRepeatedAnswer(message: GatewayMessage): boolean {
   return message.kind === "permitRequest";
 }
 
-/** Peers are named by their addresses: the way through name look-up is half of what a datagram costs. */
+/**
+ * Replaces the name lookup of the socket. Peers are addressed by IP, and the
+ * lookup would be half of the cost of sending a datagram.
+ */
 function returnLiteralAddress(
   address: string,
   _options: object,
--- a/src/gateway/view_synchronizer.ts
+++ b/src/gateway/view_synchronizer.ts
@@ -1,6 +1,7 @@
 /**
- * Keeps the published view current: watches the store and, where the store does
- * not answer or peers know more, asks a peer. Only news moves the view forward.
+ * Keeps the published view up to date: watches the platform's store and, if the
+ * store doesn't answer or a peer has a newer revision, fetches the changes from
+ * a peer. Changes of an older revision are ignored.
  */
 import { Agent, createServer, type Server } from "node:http";
 import type { FleetView } from "../core/fleet/fleet_view.ts";
@@ -20,27 +21,51 @@
 } from "./ports.ts";
 import { waitMs } from "./wait.ts";
 
-/** Wait of one watch: bounds how long a silent connection goes unnoticed. */
+/**
+ * How long one watch request waits for changes; bounds how long a dead
+ * connection goes unnoticed.
+ */
 const WATCH_TIMEOUT_MS = 2_000;
-/** Pause after a failed call to the store. */
+/** Delay after a failed call to the store. */
 const RETRY_DELAY_MS = 250;
-/** Pause after changes of the configuration, so that those that follow come in one answer. */
+/**
+ * Delay after a configuration change, so that changes in quick succession
+ * arrive in one read.
+ */
 const CONFIGURATION_COALESCE_MS = 200;
-/** The same for upstreams, as a part of the time within which one that leaves gets no new work: most is kept for the store, the way to peers and a second try. */
+/**
+ * The same for upstreams, as a fraction of the time within which a leaving one
+ * must stop getting new work. Most of that time is left for the store, the
+ * latency to peers and a second try.
+ */
 const UPSTREAM_COALESCE_SHARE = 0.2;
-/** Period in which a daemon that does not read looks whether it should. */
+/**
+ * Interval at which a daemon that doesn't read the store checks whether it
+ * should.
+ */
 const STANDBY_POLL_INTERVAL_MS = 250;
-/** Period in which a daemon that lost the store tries it again. */
+/**
+ * Interval at which a daemon that can't reach the store retries it while a peer
+ * can.
+ */
 const STORE_PROBE_INTERVAL_MS = 1_000;
-/** Silence of the store after which vanished entries count as lapsed. */
+/**
+ * Time without an answer from the store after which missing entries count as
+ * lapsed rather than removed.
+ */
 const OUTAGE_THRESHOLD_MS = 1_000;
-/** Time after an outage in which peers are told that vanished entries may have lapsed. */
+/**
+ * How long after an outage peers are told that missing entries may have lapsed.
+ */
 const OUTAGE_REPORT_MS = 1_500;
-/** Period in which peers' revisions are compared. */
+/** Interval at which the peers' revisions are compared with this daemon's. */
 const PEER_COMPARE_INTERVAL_MS = 200;
-/** Time for which the own watch may lag behind a peer before the peer is asked. */
+/**
+ * How long this daemon's own watch may lag behind a peer before the peer is
+ * asked.
+ */
 const LAG_TOLERANCE_MS = 300;
-/** Bound on one call to a peer. */
+/** Timeout of one call to a peer. */
 const PEER_TIMEOUT_MS = 600;
 const PEER_PATH = "/published";
 
@@ -52,13 +77,13 @@
   isStoreAnswering: boolean;
   /** Whether the last call to the store failed. */
   hasFailed: boolean;
-  /** When the store answered again after an outage. */
+  /** When the store last answered again after an outage. */
   outageEndedAt: Milliseconds;
   lastAnsweredAt: Milliseconds;
   behindSince: Milliseconds | undefined;
   isFetchingFromPeer: boolean;
   peerSelector: SyncPeerSelector;
-  /** Newest revision of a change in the set. */
+  /** Newest revision among the changes that peers should learn of. */
   newestRevision: number;
 }
 
@@ -69,11 +94,13 @@
   fleet: FleetView;
   log: DecisionLog;
   metrics: GatewayMetrics;
-  /** Time within which an upstream that leaves gets no new work. */
+  /** Time within which a leaving upstream must stop getting new work. */
   leavingMs: Milliseconds;
-  /** `IP:port` on which peers ask; the port is the same on all hosts. */
+  /**
+   * Address at which peers fetch the view; the port is the same on all hosts.
+   */
   listen: { ip: string; port: number };
-  /** Called after news; peers should hear of it. */
+  /** Called after a change that peers should learn of. */
   handleChange: () => void;
 }
 
@@ -97,7 +124,10 @@
     this.#timer = setInterval(() => this.#tick(), PEER_COMPARE_INTERVAL_MS);
   }
 
-  /** Returns whether the store answers this daemon, as far as it has been asked. */
+  /**
+   * Returns whether this daemon's last calls to the store succeeded; true
+   * before the first one.
+   */
   isStoreReachable(): boolean {
     return [...this.#sets.values()].every((state) => !state.hasFailed);
   }
@@ -147,7 +177,11 @@
     }
   }
 
-  /** One daemon of a failure domain reads; one that has nothing yet, lost the store or gets no news from peers does too. */
+  /**
+   * Returns whether this daemon should read the store. One daemon per failure
+   * domain does; so does any that has no data yet, whose last call to the store
+   * failed, or that failed to get changes from a peer.
+   */
   #needsStoreRead(state: SetState): boolean {
     if (state.mirror.asOf === 0 || state.hasFailed) return true;
     if (state.peerSelector.needsStore) return true;
@@ -159,7 +193,7 @@
       .some((heartbeat) => heartbeat.hasStore);
   }
 
-  /** Returns whether there were changes. */
+  /** Reads or watches the store once; returns whether there were changes. */
   async #readOnce(set: PublishedSet, state: SetState): Promise<boolean> {
     const { store } = this.#options;
     if (state.needsSnapshot || state.mirror.asOf === 0) {
@@ -319,7 +353,7 @@
     const address = `${peer.ip}:${this.#options.listen.port}`;
     try {
       const answer = await sendHttpRequest({
-        step: "ask peer for the published view",
+        step: "fetch the published view from a peer",
         address,
         method: "GET",
         path: `${PEER_PATH}?set=${set}&after=${state.mirror.asOf}`,
@@ -366,7 +400,7 @@
 
   #getState(set: PublishedSet): SetState {
     const state = this.#sets.get(set);
-    if (!state) throw new Error(`expected a set of ${SETS}, got ${set}`);
+    if (!state) throw new Error(`expected one of ${SETS}, got ${set}`);
     return state;
   }
 }
--- a/test/core/view/published_view_test.ts
+++ b/test/core/view/published_view_test.ts
@@ -1,4 +1,8 @@
-/** Configuration, upstreams and versions as published: never back, lapsed entries kept for a grace. */
+/**
+ * The published configuration, upstreams and adapter versions: an older version
+ * never replaces a newer one, and entries that lapse in an outage are kept for
+ * a grace period.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
@@ -69,7 +73,7 @@
   return view;
 }
 
-test("a configuration never goes back", () => {
+test("an older configuration never replaces a newer one", () => {
   const view = createView();
   const older = createConfiguration(2, []);
   const change = { kind: "configuration", configuration: older } as const;
@@ -78,7 +82,7 @@
   assert.ok(view.findRoute("mill.example", "/plans/1"));
 });
 
-test("the longest prefix of the host wins, whatever the case of the host", () => {
+test("the longest matching prefix of the host wins, and host names are case-insensitive", () => {
   const view = createView([
     createRoute({ name: "short", pathPrefix: "/" }),
     createRoute({ name: "long", pathPrefix: "/plans/today/" }),
@@ -91,7 +95,7 @@
   assert.is(view.findRoute("other.example", "/"), undefined);
 });
 
-test("a split route divides by weight, and the same request goes the same way", () => {
+test("a split route distributes by weight, and a request id always selects the same service", () => {
   const route = createRoute({
     targets: [{ service: "plain", weight: 90 }, {
       service: "other",
@@ -108,7 +112,7 @@
   assert.is(view.selectService(route, "request 7")?.name, names[7]);
 });
 
-test("a leaving upstream takes no new work, one of an unknown service is not used", () => {
+test("a leaving upstream gets no new work, and one of an unknown service is not used", () => {
   const view = createView();
   view.apply({ kind: "upstream", upstream: createUpstream({}) }, false, 0);
   assert.is(view.listServing("plain").length, 1);
@@ -120,7 +124,7 @@
   assert.is(view.getUpstream("s"), undefined);
 });
 
-test("what an upstream holds is not news, its start and state are", () => {
+test("peers should learn of a new start or other models, but not of other adapters", () => {
   const view = createView();
   const apply = (part: Partial<PublishedUpstream>) =>
     view.apply({ kind: "upstream", upstream: createUpstream(part) }, false, 0);
@@ -130,7 +134,7 @@
   assert.ok(apply({ bornAtUnixMs: 2, models: ["m"] }));
 });
 
-test("an entry that is gone is gone at once, one that lapsed in an outage after a grace", () => {
+test("a removed entry is dropped at once, one that lapsed in an outage after a grace period", () => {
   const view = createView();
   view.apply({ kind: "upstream", upstream: createUpstream({}) }, false, 0);
   view.apply({ kind: "upstreamGone", id: "u" }, true, 100);
@@ -143,7 +147,7 @@
   assert.is(view.listServing("plain").length, 0);
 });
 
-test("a lapsed entry that registers again stays", () => {
+test("a lapsed entry that registers again within the grace period is kept", () => {
   const view = createView();
   view.apply({ kind: "upstream", upstream: createUpstream({}) }, false, 0);
   view.apply({ kind: "upstreamGone", id: "u" }, true, 100);
@@ -154,7 +158,10 @@
 
 interface NoticeRow {
   name: string;
-  /** Steps in their order; an entry is what the store says, a notice what the replica's own answer said. */
+  /**
+   * Steps in order: an entry is what the store says, a notice what the replica
+   * said in an answer.
+   */
   steps: (
     | { entry: Partial<PublishedUpstream> }
     | { noticeOfStart: number }
@@ -165,44 +172,45 @@
 
 const NOTICE_ROWS: NoticeRow[] = [
   {
-    name: "a notice counts without the store's word",
+    name: "a notice takes effect without a change in the store",
     steps: [{ entry: {} }, { noticeOfStart: 1 }],
     isServing: false,
   },
   {
-    name: "the store's later word that it is ready does not end it",
+    name: "a later entry that says it is ready does not cancel the notice",
     steps: [{ entry: {} }, { noticeOfStart: 1 }, { entry: {} }],
     isServing: false,
   },
   {
-    name: "a notice before the first entry counts",
+    name: "a notice before the first entry takes effect",
     steps: [{ noticeOfStart: 1 }, { entry: {} }],
     isServing: false,
   },
   {
-    name: "a notice after the store's word changes nothing",
+    name: "a notice after the store's leaving entry changes nothing",
     steps: [{ entry: { isLeaving: true } }, { noticeOfStart: 1 }],
     isServing: false,
   },
   {
-    name: "a lapsed entry that comes back is still leaving",
+    name: "an entry that is removed and comes back is still leaving",
     steps: [{ entry: {} }, { noticeOfStart: 1 }, { gone: true }, { entry: {} }],
     isServing: false,
   },
   {
-    name: "another start under its id ends it",
+    name: "a restart under the same id ends it",
     steps: [{ entry: {} }, { noticeOfStart: 1 }, {
       entry: { bornAtUnixMs: 2 },
     }],
     isServing: true,
   },
   {
-    name: "a late notice of an earlier start says nothing of this one",
+    name: "a late notice of an earlier start does not affect the current one",
     steps: [{ entry: { bornAtUnixMs: 2 } }, { noticeOfStart: 1 }],
     isServing: true,
   },
   {
-    name: "a late notice of an earlier start does not end that of a later one",
+    name:
+      "a late notice of an earlier start does not cancel that of a later one",
     steps: [
       { entry: { bornAtUnixMs: 2 } },
       { noticeOfStart: 2 },
--- a/test/core/view/store_mirror_test.ts
+++ b/test/core/view/store_mirror_test.ts
@@ -1,4 +1,7 @@
-/** The copy of the store only moves forward, whichever source brings it. */
+/**
+ * The copy of the store never goes back to an older revision, whether changes
+ * come from the store or from peers.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { StoreMirror } from "../../../src/core/view/store_mirror.ts";
@@ -24,7 +27,7 @@
   assert.is(mirror.buildBatchAfter(0).changes[0]?.value, "new");
 });
 
-test("a snapshot removes what it does not list, unless it is newer", () => {
+test("a snapshot removes the keys that it does not list, unless they are newer", () => {
   const mirror = new StoreMirror();
   mirror.applyBatch({
     isSnapshot: false,
@@ -40,7 +43,7 @@
   assert.equal(mirror.buildBatchAfter(0).changes, [put("b", 12)]);
 });
 
-test("a removed key stays removed for older news, and comes back with newer", () => {
+test("an older change does not restore a removed key, a newer one does", () => {
   const mirror = new StoreMirror();
   mirror.applyBatch({ isSnapshot: true, asOf: 1, changes: [put("a", 1)] });
   mirror.applyBatch({
@@ -60,7 +63,7 @@
   assert.is(applied.length, 1);
 });
 
-test("a peer that is behind gets changes and removals, one that knows nothing a snapshot", () => {
+test("a peer that lags behind gets changes and removals, one without data a snapshot", () => {
   const mirror = new StoreMirror();
   mirror.applyBatch({
     isSnapshot: true,
@@ -80,7 +83,7 @@
   assert.equal(whole.changes, [put("b", 3)]);
 });
 
-test("a peer behind the remembered removals gets a snapshot", () => {
+test("a peer that lags behind the remembered removals gets a snapshot", () => {
   const mirror = new StoreMirror();
   for (let revision = 1; revision <= 2_100; revision += 1) {
     mirror.applyBatch({
--- a/test/core/view/sync_peer_selector_test.ts
+++ b/test/core/view/sync_peer_selector_test.ts
@@ -1,4 +1,7 @@
-/** Whom a daemon asks for what it lacks of the published view. */
+/**
+ * Selection of the peer from which a daemon fetches changes of the published
+ * view.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
@@ -10,7 +13,7 @@
   return { id, ip: id, revision: 9, isSameDomain: isSameDomain };
 }
 
-test("daemons spread over the peers that have the news", () => {
+test("daemons spread over the peers that have the change", () => {
   const peers = ["1", "2", "3", "4"].map((id) => createPeer(id));
   const chosen = Array.from(
     { length: 20 },
@@ -19,7 +22,7 @@
   assert.is(new Set(chosen).size, 4);
 });
 
-test("near peers are asked first", () => {
+test("peers of the same failure domain are preferred", () => {
   const peers = [
     createPeer("1", false),
     createPeer("2"),
@@ -29,7 +32,7 @@
   assert.ok(new SyncPeerSelector("host").choosePeer(peers.slice(0, 1), 0));
 });
 
-test("a peer on a narrow link is not asked again and again, the store is asked", () => {
+test("a peer that did not answer is skipped for a while, and the store is needed", () => {
   const selector = new SyncPeerSelector("host");
   const reader = createPeer("reader");
   assert.is(selector.choosePeer([reader], 0)?.id, "reader");
--- a/test/gateway/fleet_test.ts
+++ b/test/gateway/fleet_test.ts
@@ -1,6 +1,7 @@
 /**
- * Several gateways: configuration and leaving upstreams in force everywhere, one
- * holder an engine, stops that lose nothing, a store that goes away.
+ * Several gateways: configuration changes and leaving upstreams take effect on
+ * all of them, each engine has one owner, a graceful stop loses no request, and
+ * an outage of the store is survived.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -9,7 +10,10 @@
 import { GatewayHarness, TERM_MS } from "./gateway_harness.ts";
 
 const GATEWAYS = 3;
-/** The platform's bounds: a version in force, a leaving replica unused. */
+/**
+ * The platform's time limits: until a version is in force, until a leaving
+ * replica gets no requests.
+ */
 const APPLY_MS = 2_000;
 const DRAIN_MS = 2_000;
 
@@ -44,7 +48,7 @@
   return answers.map((answer) => answer.status);
 }
 
-test("each engine takes orders from one holder, with numbers that rise", async () => {
+test("each engine accepts orders of one owner only, with rising fencing numbers", async () => {
   for (let round = 0; round < 12; round += 1) {
     const answer = await harness.call("/brief/1", {
       gateway: round % GATEWAYS,
@@ -61,7 +65,7 @@
   }
 });
 
-test("a version is in force on every gateway within its bound", async () => {
+test("a configuration version is in force on every gateway within the time limit", async () => {
   harness.publish([createRoute("added")]);
   await waitMs(APPLY_MS / 2);
   assert.equal(await getStatuses("/added/1"), [200, 200, 200]);
@@ -70,7 +74,7 @@
   assert.equal(await getStatuses("/added/1"), [404, 404, 404]);
 });
 
-test("a version is in force also when the store turns the readers' watches away", async () => {
+test("a configuration version is in force in time even if the store rejects watches because the history is gone", async () => {
   harness.store.fault = "historyGone";
   harness.publish([createRoute("compacted")]);
   await waitMs(APPLY_MS);
@@ -78,7 +82,7 @@
   harness.store.fault = "none";
 });
 
-test("a leaving replica gets nothing after its bound, one that registers is used", async () => {
+test("a leaving replica gets no requests after the time limit, and is used once it registers again", async () => {
   const [leaving] = harness.services;
   if (!leaving) throw new Error("expected a service");
   harness.register(leaving, "draining");
@@ -95,14 +99,14 @@
   });
 });
 
-test("an entry of another writer neither stops nor serves anything", async () => {
+test("a malformed entry in the store neither stops a gateway nor is used as an upstream", async () => {
   harness.store.put("servers/i-forged", "no \u0000 JSON");
   harness.store.put("servers/i-forged2", { service: "orders", state: "ready" });
   await waitMs(500);
   assert.equal(await getStatuses("/safe/1"), [200, 200, 200]);
 });
 
-test("a replica that starts empty under its id is loaded again", async () => {
+test("a replica that restarts empty under the same id is loaded again", async () => {
   const [engine] = harness.engines;
   if (!engine) throw new Error("expected an engine");
   engine.restart();
@@ -117,7 +121,7 @@
   await harness.waitFor(() => engine.models.length === 1);
 });
 
-test("while the store is silent, what is known goes on", async () => {
+test("gateways go on with the last known state while the store does not answer, and catch up afterwards", async () => {
   harness.store.fault = "silent";
   await waitMs(3_500);
   assert.equal(await getStatuses("/safe/1"), [200, 200, 200]);
@@ -129,7 +133,7 @@
   );
 });
 
-test("a replica that registers under a new id is used by all", async () => {
+test("a replica that registers under a new id is used by all gateways", async () => {
   const added = new FakePlatformReplica("i-added", false);
   await added.start();
   harness.services.push(added);
@@ -140,7 +144,7 @@
   });
 });
 
-test("a stop finishes what was read and hands its engines over", async () => {
+test("a graceful stop finishes the requests already read and hands the engines over", async () => {
   for (const engine of harness.engines) engine.behaviours = ["slow"];
   const running = harness.call("/brief/1", {
     gateway: 2,
--- a/test/gateway/peer_batch_test.ts
+++ b/test/gateway/peer_batch_test.ts
@@ -1,4 +1,7 @@
-/** What gateways pass on of the published view, and bytes that are no such thing. */
+/**
+ * The encoding in which gateways pass the published view on, and invalid bytes
+ * in its place.
+ */
 import { Buffer } from "node:buffer";
 import { request } from "node:http";
 import process from "node:process";
@@ -20,7 +23,7 @@
 
 test.after(() => ports.release());
 
-test("a batch comes out as it went in, bytes of any value included", () => {
+test("a batch is decoded to what was encoded, bytes of any value included", () => {
   const value = Buffer.from([...Array(256).keys()]).toString("base64");
   const peerBatch = {
     batch: {
@@ -36,7 +39,7 @@
   assert.equal(decodePeerBatch(encodePeerBatch(peerBatch)), peerBatch);
 });
 
-test("what is no batch is refused whole", () => {
+test("invalid and oversized batches are rejected", () => {
   const bad = [
     Buffer.from("no gzip"),
     gzipSync("no JSON"),
@@ -50,7 +53,7 @@
   for (const bytes of bad) assert.throws(() => decodePeerBatch(bytes));
 });
 
-test("a peer's question that is no URL path is answered, and so is the next", async () => {
+test("a request with an invalid path or set is answered with 404, and the next one is served", async () => {
   const synchronizer = new ViewSynchronizer({
     store: {
       readAll: () => Promise.reject(new Error("no store here")),
--- a/test/gateway/peer_datagrams_test.ts
+++ b/test/gateway/peer_datagrams_test.ts
@@ -1,4 +1,7 @@
-/** Datagrams from anybody: what is no whole, valid message is counted and changes nothing. */
+/**
+ * Arbitrary datagrams: whatever isn't a complete, valid message is counted and
+ * changes nothing.
+ */
 import { Buffer } from "node:buffer";
 import { createSocket } from "node:dgram";
 import process from "node:process";
@@ -46,7 +49,10 @@
 };
 const RELEASED = { kind: "permitReleased", engineId: "e", permitId: "p" };
 
-/** Sends raw texts to a receiver, and a valid message after them; returns what was handled and counted. */
+/**
+ * Sends raw datagrams to a receiver, followed by a valid message; returns the
+ * messages handled and the reasons of drops.
+ */
 async function receive(
   texts: readonly (string | Buffer)[],
   afterHandling: (message: GatewayMessage) => void = () => {},
@@ -91,7 +97,7 @@
   return JSON.stringify({ from: SENDER, incarnation: "1", message, ...rest });
 }
 
-test("bytes that are no envelope end nothing and are counted", async () => {
+test("bytes that aren't an envelope are counted and don't stop the receiver", async () => {
   const { handled, dropped } = await receive([
     "null",
     "5",
@@ -108,7 +114,7 @@
   assert.equal(dropped.length, 10);
 });
 
-test("messages without their fields, or with other types, are dropped", async () => {
+test("messages with missing fields or wrong types are dropped", async () => {
   const bad: object[] = [
     { kind: "heartbeat" },
     { kind: "heartbeat", heartbeat: {} },
@@ -131,7 +137,7 @@
   assert.equal(dropped, bad.map(() => "invalid"));
 });
 
-test("a peer speaks only for itself", async () => {
+test("messages that name another sender than the envelope are dropped", async () => {
   const other = { ...HEARTBEAT, sender: { ...HEARTBEAT.sender, id: "x" } };
   const { handled, dropped } = await receive([
     encode({ kind: "heartbeat", heartbeat: other }),
@@ -145,7 +151,7 @@
   assert.equal(dropped, ["foreignSender", "foreignSender"]);
 });
 
-test("messages of a later version: unknown fields are left out, unknown kinds counted", async () => {
+test("messages of a later version: unknown fields are ignored, unknown kinds are counted", async () => {
   const { handled, dropped } = await receive([
     encode({ kind: "heartbeat", heartbeat: { ...HEARTBEAT, later: 1 } }),
     encode({ kind: "permitRequest", engineId: "e", request: REQUEST }),
@@ -159,7 +165,7 @@
   assert.equal(dropped, ["unknownKind"]);
 });
 
-test("a question that comes again is answered again, other messages are handled once", async () => {
+test("a repeated permit request is handled again, other repeated messages once", async () => {
   const question = encode(
     { kind: "permitRequest", engineId: "e", request: REQUEST },
     { number: 5 },
@@ -174,13 +180,13 @@
   ]);
 });
 
-test("a fault in the handling of one message leaves the others served", async () => {
+test("an error in handling one message doesn't affect the others", async () => {
   const { handled, dropped } = await receive(
     [encode({ ...RELEASED, permitId: "faulty" })],
     (message) => {
       const isFaulty = message.kind === "permitReleased" &&
         message.permitId === "faulty";
-      if (isFaulty) throw new Error("played fault");
+      if (isFaulty) throw new Error("injected fault");
     },
   );
   assert.equal(handled.length, 2);
--- a/test/gateway/peer_task_test.ts
+++ b/test/gateway/peer_task_test.ts
@@ -1,4 +1,4 @@
-/** The datagram socket between gateways. */
+/** Messages between gateways over UDP. */
 import process from "node:process";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -34,7 +34,7 @@
   });
 }
 
-test("a port that is taken ends the start", async () => {
+test("listening on a port that is in use fails", async () => {
   const first = createPeer("127.0.0.1");
   await first.listen();
   const second = createPeer("127.0.0.1");
@@ -44,7 +44,7 @@
   first.close();
 });
 
-test("a message is handled once and acknowledged; a silent peer is told", async () => {
+test("a message is handled once and acknowledged; delivery to a silent peer fails", async () => {
   const seen: string[] = [];
   const sender = createPeer("127.0.0.1");
   const receiver = createPeer("127.0.0.2", (from, message) => {
