--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -78,7 +78,7 @@
 
 /** The implementations of ports.ts for one platform. */
 export interface GatewayPlatform {
-  dialect: HeaderCodec;
+  headerCodec: HeaderCodec;
   decoder: ChangeDecoder;
   createStore: (address: string) => PublishedStore;
   createEngineControl: () => EngineControl;
@@ -114,7 +114,7 @@
   constructor(settings: GatewaySettings, platform: GatewayPlatform) {
     const { host, failureDomain, peers } = settings;
     this.#settings = settings;
-    this.#headerCodec = platform.dialect;
+    this.#headerCodec = platform.headerCodec;
     this.#log = new DecisionLog(host, settings.logLevel);
     const { host: ip, port } = parseAddress(peers.listen);
     this.#fleet = new FleetView({ id: host, ip, failureDomain }, Date.now());
@@ -162,7 +162,7 @@
     const context: RequestContext = {
       selfId: host,
       failureDomain,
-      headerCodec: platform.dialect,
+      headerCodec: platform.headerCodec,
       view: this.#view,
       fleet: this.#fleet,
       health: this.#health,
--- a/test/gateway/gateway_harness.ts
+++ b/test/gateway/gateway_harness.ts
@@ -109,7 +109,7 @@
       logLevel: "silent",
     });
     return new Gateway(settings, {
-      dialect: new HeaderDialect(),
+      headerCodec: new HeaderDialect(),
       decoder: new EntryDecoder(),
       createStore: (address) => new StoreClient(address),
       createEngineControl: () => new ReplicaClient(),
