--- a/src/core/admission/admission_controller.ts
+++ b/src/core/admission/admission_controller.ts
@@ -1,8 +1,9 @@
 /**
- * The desk of one engine, kept by the daemon that gives its orders: admits
- * requests to the engine's batch, has their adapters loaded, and turns away at
- * once what can't be served in time. Load pattern: more distinct adapters than
- * slots and more prompts than the engine reads in time, from many daemons.
+ * Admission controller of one engine, run by the engine's owner: admits
+ * requests to the engine's batch, selects the adapters to load and evict for
+ * them, and denies at once what can't be served in time. It is built for more
+ * distinct adapters than slots, and for more prompt tokens than the engine can
+ * prefill in time, from many daemons.
  */
 import type { AdapterSlot, AdapterSlots } from "../placement/adapter_slots.ts";
 import { MAX_LOAD_LATENESS_MS } from "../placement/adapter_slots.ts";
@@ -11,36 +12,36 @@
 import type { BatchCapacity, BatchDemand } from "./batch_capacity.ts";
 import { RunEstimator } from "./run_estimator.ts";
 
-/** A request for a place in an engine's batch. */
+/** A request for permission to run on an engine. */
 export interface PermitRequest extends BatchDemand {
   permitId: string;
-  /** Daemon that asks. */
+  /** Daemon that asks for the permit and would hold it. */
   holder: string;
   model: string;
   /** Empty for the base model. */
   adapter: string;
-  /** Version that must run it; undefined when none is declared. */
+  /** Required version of the adapter; undefined when none is declared. */
   version?: number | undefined;
   /** 0 is the most urgent. */
   priorityRank: number;
-  /** Time that a place is worth waiting for. */
+  /** Longest time to wait for the permit. */
   patienceMs: Milliseconds;
   /** Time left until the first token is late. */
   firstTokenBudgetMs: Milliseconds;
   /** Time after which the request can't be running any more. */
   lifetimeMs: Milliseconds;
-  /** Whether no other engine is to be tried, so that it waits here. */
+  /** Whether no other engine will be tried, so that the request waits here. */
   isLastChoice: boolean;
 }
 
 export const DenialReason = {
   /** Every adapter slot is in use. */
   SlotsInUse: "slotsInUse",
-  /** The batch, or what is to be read before, is too long. */
+  /** The batch is full or the prefill backlog too long. */
   Busy: "busy",
-  /** This daemon does not give the engine's orders. */
+  /** This daemon is not the engine's owner. */
   NotOwner: "notHolder",
-  /** The wait ended without a place. */
+  /** The wait ended without a permit. */
   Overdue: "overdue",
 } as const;
 export type DenialReason = (typeof DenialReason)[keyof typeof DenialReason];
@@ -52,20 +53,23 @@
     permitId: string;
     holder: string;
     reason: DenialReason;
-    /** After which a place is expected. */
+    /** Time after which a permit is expected to be available. */
     retryAfterMs: Milliseconds;
-    /** Who gives the engine's orders, as far as one knows that does not. */
+    /**
+     * The engine's owner, as far as a daemon knows it that is not the owner
+     * itself.
+     */
     knownHolder?: string;
   };
 
-/** A run that goes on at an engine whose holder has changed. */
+/** A running request at an engine whose owner has changed. */
 export interface AdoptedRun extends BatchDemand {
   permitId: string;
   /** Time after which it can't be running any more. */
   lifetimeMs: Milliseconds;
 }
 
-/** The next order that the engine should get. */
+/** The next order to give to the engine. */
 export type EngineOrder =
   | {
     kind: "load";
@@ -76,13 +80,23 @@
   }
   | { kind: "evict"; model: string; adapter: string; adapterPath: string };
 
-/** Part of the time until the first token is late that an estimate may take here before another engine is tried. */
+/**
+ * A request is sent to another engine only if its first token would take longer
+ * here than this fraction of its remaining budget.
+ */
 const SPILLOVER_TOTAL_FRACTION = 0.65;
-/** Part of that time that has to be lost on what is scarce here alone, before another engine is worth a further load. */
+/**
+ * A request is also sent to another engine only if the waits that are specific
+ * to this engine take longer than this fraction of the budget, since another
+ * copy of the adapter costs one more load.
+ */
 const SPILLOVER_LOCAL_FRACTION = 0.2;
-/** Time after taking an engine over in which daemons tell of the runs that they have there. */
+/**
+ * Time after a change of owner in which daemons report the requests that they
+ * run on the engine. Nothing is evicted before it has passed.
+ */
 const ADOPTION_TIMEOUT_MS = 900;
-/** Backlog of prompts beyond which a request waits here instead of in the engine. */
+/** Prefill backlog above which requests wait here instead of in the engine. */
 const MAX_PREFILL_BACKLOG_MS = 600;
 
 interface WaitingRequest {
@@ -91,20 +105,25 @@
   overdueAt: Milliseconds;
 }
 
-/** How long a request would wait here, by what for. */
+/** Expected wait of a request at this engine, by cause. */
 interface WaitEstimate {
-  /** For what is scarce at this engine: its reading, its batch, its slots, its loads. */
+  /**
+   * For the engine's own resources: prefill, batch slots, adapter slots and
+   * loads.
+   */
   localMs: Milliseconds;
-  /** Until its adapter is there, with the loads before its own here. */
+  /**
+   * For the request's adapter, including the loads ahead of it at this engine.
+   */
   loadMs: Milliseconds;
-  /** For the loads elsewhere that the weight store is busy with. */
+  /** For fetches of other engines from the weight store. */
   storeQueueMs: Milliseconds;
 }
 
 interface Permit {
   adapterPath: string;
   expiresAt: Milliseconds;
-  /** When it was granted; undefined for runs that were adopted. */
+  /** When it was granted; undefined for adopted runs. */
   grantedAt: Milliseconds | undefined;
   hasFirstToken: boolean;
 }
@@ -114,7 +133,7 @@
   readonly batch: BatchCapacity;
   readonly #waitingRequests = new Map<string, WaitingRequest>();
   readonly #permits = new Map<string, Permit>();
-  /** Daemons that the engine has turned away, and until when. */
+  /** Until when the engine accepts no requests of a daemon, by daemon. */
   readonly #backoffUntil = new Map<string, Milliseconds>();
   #answers: PermitAnswer[] = [];
   #evictionAllowedAt = Number.NEGATIVE_INFINITY;
@@ -129,14 +148,14 @@
     return this.#waitingRequests.size;
   }
 
-  /** Returns the answers that are due, and forgets them. */
+  /** Returns the pending answers and removes them. */
   takeAnswers(): PermitAnswer[] {
     const answers = this.#answers;
     this.#answers = [];
     return answers;
   }
 
-  /** Takes a request in; the answer comes now or later. */
+  /** Accepts a request for a permit; its answer is ready now or later. */
   requestPermit(request: PermitRequest, now: Milliseconds): void {
     if (this.#permits.has(request.permitId)) {
       this.#answerGrant(request);
@@ -161,17 +180,23 @@
     this.grantWaiting(now);
   }
 
-  /** Starts with an engine whose runs are not known yet: nothing is evicted until they are. */
+  /**
+   * Begins to collect the running requests of an engine after a change of
+   * owner. Nothing is evicted until they are known.
+   */
   beginAdoption(now: Milliseconds): void {
     this.#evictionAllowedAt = now + ADOPTION_TIMEOUT_MS;
   }
 
-  /** Notes that every daemon has told of its runs. */
+  /** Records that every daemon has reported its running requests. */
   endAdoption(now: Milliseconds): void {
     this.#evictionAllowedAt = Math.min(this.#evictionAllowedAt, now);
   }
 
-  /** Counts a run that an earlier holder permitted, or nobody. */
+  /**
+   * Counts a run that a former owner permitted, or that started without a
+   * permit.
+   */
   adoptPermit(permit: AdoptedRun, now: Milliseconds): void {
     if (this.#permits.has(permit.permitId)) return;
     const { permitId, adapterPath } = permit;
@@ -186,7 +211,10 @@
     if (place) this.slots.recordUse(place, permitId, now);
   }
 
-  /** Gives back a permit whose run is over, and serves who waits for its place. */
+  /**
+   * Releases the permit of a run that has ended and grants its capacity to
+   * waiting requests.
+   */
   releasePermit(permitId: string, now: Milliseconds): void {
     this.#waitingRequests.delete(permitId);
     const permit = this.#permits.get(permitId);
@@ -214,8 +242,8 @@
   }
 
   /**
-   * Takes back a permit that the engine did not honour. Returns whether the
-   * adapter was ordered so lately that its load may not be done.
+   * Releases a permit whose request the engine did not run. Returns whether the
+   * adapter was ordered so recently that its load may still be in progress.
    */
   recordNotReady(
     permitId: string,
@@ -233,7 +261,10 @@
     return isLoadLate;
   }
 
-  /** Notes that the engine wants no request of a daemon for the given time: none of its own waits on here. */
+  /**
+   * Records that the engine accepts no requests of a daemon for the given time,
+   * and denies those of that daemon that are waiting.
+   */
   recordBackoff(
     daemonId: string,
     backoffMs: Milliseconds,
@@ -263,7 +294,10 @@
     this.grantWaiting(now);
   }
 
-  /** Returns when the desk has to look again: a load is done, or a wait ends. */
+  /**
+   * Returns when the next tick is due: a load is expected to complete, or a
+   * wait ends.
+   */
   getNextTickAt(): Milliseconds {
     let dueAt = Number.POSITIVE_INFINITY;
     for (const place of this.slots.listSlots()) {
@@ -275,7 +309,10 @@
     return dueAt;
   }
 
-  /** Grants every place that is free, the most urgent request first. */
+  /**
+   * Grants permits to waiting requests, the most urgent first, while the engine
+   * has capacity.
+   */
   grantWaiting(now: Milliseconds): void {
     for (const { request } of this.#listWaiting(now)) {
       if (!this.#isAdapterReady(request)) continue;
@@ -285,7 +322,9 @@
     }
   }
 
-  /** Returns the next order that would let a waiting request run, or undefined. */
+  /**
+   * Returns the next order that would let a waiting request run, or undefined.
+   */
   findNextOrder(
     canFetch: boolean,
     now: Milliseconds,
@@ -316,7 +355,10 @@
     return now < this.#evictionAllowedAt ? [] : this.slots.listIdle(now);
   }
 
-  /** Denies all that waits, when the engine is given up. */
+  /**
+   * Denies all waiting requests when the daemon gives up ownership of the
+   * engine.
+   */
   refuseAll(reason: DenialReason, now: Milliseconds): void {
     for (const { request } of this.#waitingRequests.values()) {
       this.#refuse(request, reason, now);
@@ -324,13 +366,20 @@
     this.#waitingRequests.clear();
   }
 
-  /** Forgets every permit, when the engine restarted and runs nothing. */
+  /**
+   * Removes every permit after a restart of the engine, which then runs
+   * nothing.
+   */
   clearPermits(): void {
     this.#permits.clear();
     this.batch.clear();
   }
 
-  /** Returns who waits: first those whose first token can still be in time, of these the most urgent, then the longest waiting. */
+  /**
+   * Returns the waiting requests: first those that can still meet their
+   * first-token deadline, among these the most urgent, then the longest
+   * waiting.
+   */
   #listWaiting(now: Milliseconds): WaitingRequest[] {
     const ranked = [...this.#waitingRequests.values()].map((waiting) => ({
       waiting,
@@ -366,8 +415,9 @@
   }
 
   /**
-   * Another engine is worth a try only for what is long here: a load from the weight
-   * store takes as long everywhere, and each copy of an adapter costs one.
+   * Only waits that are specific to this engine justify trying another one: a
+   * fetch from the weight store takes as long everywhere, and each further copy
+   * of an adapter costs one.
    */
   #findDenial(
     request: PermitRequest,
@@ -398,7 +448,9 @@
       : this.slots.findEvictionVictim(now);
   }
 
-  /** Returns when the request's first token is expected, were it sent here. */
+  /**
+   * Returns when the first token of the request is expected if it runs here.
+   */
   estimateFirstTokenMs(
     request: PermitRequest,
     now: Milliseconds,
@@ -441,7 +493,7 @@
     };
   }
 
-  /** Returns whether the request's adapter is neither here nor on its way. */
+  /** Returns whether the request's adapter is neither loaded nor loading. */
   #needsLoad({ adapter, adapterPath }: PermitRequest): boolean {
     return adapter !== "" && this.slots.getSlot(adapterPath) === undefined;
   }
@@ -516,13 +568,16 @@
   }
 }
 
-/** A version that was not told fits any; the engine itself checks a declared one. */
+/**
+ * An adapter of unknown version satisfies any requirement; the engine itself
+ * checks a declared version.
+ */
 function hasVersion(place: AdapterSlot, version: number | undefined): boolean {
   return version === undefined || place.version === undefined ||
     place.version >= version;
 }
 
-/** Returns the eviction of an adapter, named as `model/adapter`. */
+/** Returns the order to evict an adapter, given as `model/adapter`. */
 export function buildEvictionOrder(adapterPath: string): EngineOrder {
   const separator = adapterPath.indexOf("/");
   return {
--- a/src/core/admission/batch_capacity.ts
+++ b/src/core/admission/batch_capacity.ts
@@ -1,28 +1,44 @@
 /**
- * Room in one engine's batch, as the daemon that admits to it counts it: places,
- * memory for tokens, and the prompts that are still to be read. Load pattern: a
- * burst of long prompts, each of which delays the first token of all behind it.
- * Parts of prompts that were read there lately for the same adapter cost nothing.
+ * Capacity of one engine's running batch, as tracked by the daemon that admits
+ * requests to it: batch slots, KV cache and the prefill backlog. In a burst of
+ * long prompts, each prompt delays the first token of all requests behind it.
+ * Prompt parts that the engine has recently prefilled for the same adapter are
+ * cached and cost nothing.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** Prompt tokens that an engine reads in a millisecond, before any were seen read; the users' sheets give 30.6 to 38.7. */
+/**
+ * Prompt tokens that an engine prefills per millisecond, until its own rate was
+ * observed; the site specifications give 30.6 to 38.7.
+ */
 export const DEFAULT_PREFILL_TOKENS_PER_MS = 38;
-/** Prompts, in tokens, from which the time to a first token tells how fast an engine reads: some hundred milliseconds. */
+/**
+ * Minimum number of tokens for a time to first token to be a sample of the
+ * prefill rate: these take some hundred milliseconds.
+ */
 const MIN_PREFILL_SAMPLE_TOKENS = 4_000;
-/** Weight of the latest such time in the mean. */
+/** Weight of the latest sample in the moving average. */
 const PREFILL_RATE_WEIGHT = 1 / 8;
-/** Bounds of the mean, in parts of the first value: beyond, something else has taken the time. */
+/**
+ * Bounds of a sample, as multiples of the default rate. A value outside them
+ * has another cause than prefill.
+ */
 const MIN_PREFILL_RATE_FACTOR = 0.4;
 const MAX_PREFILL_RATE_FACTOR = 2;
-/** Part of the memory for tokens that is given out: caches and estimates need the rest. */
+/**
+ * Fraction of the KV cache that is allotted to requests; prefix caches and
+ * errors of the estimates need the rest.
+ */
 const USABLE_KV_CACHE_FRACTION = 0.9;
-/** Prompt parts that an engine is taken to keep. */
+/** Number of prompt parts that an engine is assumed to cache. */
 const MAX_CACHED_PROMPT_PARTS = 64;
-/** Time after which a prompt is taken to be read, though nobody said so. */
+/**
+ * Time after which a prompt counts as prefilled even if no first token was
+ * reported.
+ */
 const PREFILL_TIMEOUT_MS = 4_000;
 
-/** What a request asks of an engine. */
+/** Resources of an engine that a request needs. */
 export interface BatchDemand {
   adapterPath: string;
   promptTokens: number;
@@ -33,7 +49,10 @@
 interface RunningRequest {
   tokens: number;
   prefillTokens: number;
-  /** Tokens of prompts that were to be read before its own was done. */
+  /**
+   * Tokens to prefill until its first token: the backlog at its admission and
+   * its own prompt.
+   */
   tokensToFirstToken: number;
   admittedAt: Milliseconds;
 }
@@ -42,7 +61,7 @@
   readonly #running = new Map<string, RunningRequest>();
   readonly #cachedParts = new Set<string>();
   #batchSize: number;
-  /** Prompt tokens that the engine reads in a millisecond. */
+  /** Prompt tokens that the engine prefills per millisecond. */
   #prefillTokensPerMs = DEFAULT_PREFILL_TOKENS_PER_MS;
   #kvCacheTokens: number;
 
@@ -60,7 +79,10 @@
     return this.#running.size;
   }
 
-  /** Returns whether the request fits into the batch and its memory now. */
+  /**
+   * Returns whether the request fits into the batch and the KV cache now. An
+   * idle engine takes any request.
+   */
   hasCapacityFor(demand: BatchDemand): boolean {
     if (this.#running.size === 0) return true;
     const usedTokens = this.#sumTokens();
@@ -69,12 +91,15 @@
         this.#kvCacheTokens;
   }
 
-  /** Returns how long the prompts before a new request take to be read. */
+  /**
+   * Returns how long the engine takes to prefill the prompts ahead of a new
+   * request.
+   */
   estimatePrefillBacklogMs(now: Milliseconds): Milliseconds {
     return this.#sumPrefillTokens(now) / this.#prefillTokensPerMs;
   }
 
-  /** Returns how long the engine reads the request's own prompt. */
+  /** Returns how long the engine takes to prefill the request's own prompt. */
   estimatePrefillMs(demand: BatchDemand): Milliseconds {
     return this.#countUncachedTokens(demand) / this.#prefillTokensPerMs;
   }
@@ -90,7 +115,7 @@
     for (const part of demand.promptParts) this.#recordPart(demand, part.id);
   }
 
-  /** Counts a request whose prompt has been read. */
+  /** Counts a request whose prompt has already been prefilled. */
   admitPrefilled(
     permitId: string,
     demand: BatchDemand,
@@ -101,7 +126,7 @@
     if (request) request.prefillTokens = 0;
   }
 
-  /** Notes that the request's prompt has been read. */
+  /** Records that the request's prompt has been prefilled. */
   recordFirstToken(permitId: string, now: Milliseconds): void {
     const request = this.#running.get(permitId);
     if (!request || request.prefillTokens === 0) return;
@@ -145,7 +170,7 @@
     return sum;
   }
 
-  /** A part counts as read only if all parts before it are. */
+  /** A part is cached only if all parts before it are. */
   #countUncachedTokens(demand: BatchDemand): number {
     let unread = demand.promptTokens;
     for (const part of demand.promptParts) {
--- a/src/core/admission/permit_release_retry_queue.ts
+++ b/src/core/admission/permit_release_retry_queue.ts
@@ -1,28 +1,31 @@
 /**
- * Returns of permits that did not reach the engine's holder. Load pattern: a cut
- * or a crash breaks many runs off at once, and each permit that is not given back
- * keeps a place of the engine's batch empty until its request's time is over. They
- * are sent again once the holder is heard, until then.
+ * Retries of permit releases that did not reach the engine's owner. A network
+ * partition or a crash ends many runs at once, and each permit that is not
+ * released keeps a batch slot of the engine empty until the request's lifetime
+ * is over. Until then, releases are sent again as soon as the owner is alive.
  */
 import type { Milliseconds } from "../structures.ts";
 
 export interface UndeliveredRelease<Message> {
   message: Message;
   ownerId: string;
-  /** When the holder takes the permit back by itself. */
+  /** When the owner expires the permit itself. */
   expiresAt: Milliseconds;
 }
 
-/** Time between two sendings of one return: the sending itself is repeated for a quarter of a second. */
+/**
+ * Time between two attempts to send a release; each attempt is itself
+ * retransmitted for a quarter of a second.
+ */
 const RETRY_INTERVAL_MS = 500;
-/** Returns that are kept: more than a host has runs. */
+/** Maximum number of queued releases, which is more than a host has runs. */
 const MAX_QUEUED = 1_000;
 
 export class PermitReleaseRetryQueue<Message> {
   #queue: { release: UndeliveredRelease<Message>; retryAt: Milliseconds }[] =
     [];
 
-  /** Keeps a return that was not delivered, while it is worth anything. */
+  /** Queues a release that was not delivered, unless its permit has expired. */
   recordSend(
     due: UndeliveredRelease<Message>,
     isDelivered: boolean,
@@ -36,7 +39,7 @@
     this.#queue.push({ release: due, retryAt: now + RETRY_INTERVAL_MS });
   }
 
-  /** Returns those that are to be sent again now, and keeps them no more. */
+  /** Removes and returns the releases that are due to be sent again. */
   takeDue(
     isAlive: (holderId: string) => boolean,
     now: Milliseconds,
--- a/src/core/admission/permit_wait.ts
+++ b/src/core/admission/permit_wait.ts
@@ -1,22 +1,35 @@
 /**
- * How long a request waits for a place in an engine. Load pattern: a queue so long
- * that callers leave before their first event, and what they leave behind is
- * served to nobody. A wait ends in time for the first event to reach a caller who
- * is still there; whoever can't be served by then is refused while it can return.
+ * How long a request waits for a permit to run on an engine. In a long queue,
+ * callers leave before their first event arrives, and their requests would be
+ * served to nobody. A wait therefore ends early enough for the first event to
+ * reach a caller who is still connected. A request that can't be served by then
+ * is denied while its caller can still retry.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** Callers leave a stream after this many objectives without an event: the users' pages. */
+/**
+ * Callers abandon a stream after this many latency objectives without an event
+ * (requirement).
+ */
 const ABANDON_LATENCY_OBJECTIVES = 4;
-/** They stay this long at the least: the users' pages. */
+/** Shortest time after which callers abandon a stream (requirement). */
 const MIN_ABANDON_MS = 2_000;
-/** They stay for this many of the longest pauses between events for which a stream is in time: the users' pages. */
+/**
+ * Callers also wait for this many inter-token objectives, the longest gap
+ * between events with which a stream is on time (requirement).
+ */
 const ABANDON_INTER_TOKEN_OBJECTIVES = 8;
-/** Time that the engine takes from the place to the first event, in a busy batch. */
+/** Time from the grant of a permit to the first event in a busy batch. */
 const GRANT_TO_FIRST_EVENT_MS = 600;
-/** Part of the time left that a place is waited for, when the first token will be late. */
+/**
+ * Fraction of the remaining time to wait for a permit when the first token will
+ * be late anyway.
+ */
 const LATE_WAIT_FRACTION = 0.25;
-/** Shortest wait: a load of an adapter that the engine held lately takes this long. */
+/**
+ * Shortest wait: loading an adapter that the engine held recently takes this
+ * long.
+ */
 const MIN_WAIT_MS = 60;
 
 export function computeMaxPermitWaitMs(
--- a/src/core/admission/retry_after.ts
+++ b/src/core/admission/retry_after.ts
@@ -1,17 +1,18 @@
 /**
- * When a refused caller is told to come back. Load pattern: many callers are
- * refused in the same moment and would return in the same moment too. The time
- * is when a place is expected, spread by the request, and within what the
- * caller can still wait, so that its return is served and not refused again.
+ * When a refused caller is told to retry. Many callers are refused at the same
+ * moment and would also retry at the same moment. The retry time is when
+ * capacity is expected, plus a jitter derived from the request ID. It is
+ * limited to what the caller can still wait, so that the retry is served
+ * instead of refused again.
  */
 import { hashText } from "../hashing.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** Callers honour a wait of up to a third of the time that they have left. */
+/** Callers honour a Retry-After of up to a third of their remaining time. */
 const MAX_REMAINING_FRACTION = 1 / 3;
-/** Earliest return: an answer sooner than that would find the same state. */
+/** Earliest retry: nothing would have changed before. */
 const MIN_RETRY_AFTER_MS = 80;
-/** Width of the spread, as a part of the wait. */
+/** Maximum jitter as a fraction of the wait. */
 const JITTER_FRACTION = 0.5;
 
 export function computeRetryAfterMs(
--- a/src/core/admission/run_estimator.ts
+++ b/src/core/admission/run_estimator.ts
@@ -1,17 +1,26 @@
 /**
- * How long runs last and how often a slot falls idle, learnt from the runs that
- * ended. Load pattern: every slot is in use, and who waits wants to know for how
- * long; runs differ from site to site by a factor of several.
+ * Moving averages of how long runs last and how often an adapter slot is
+ * released. While every slot is in use, they tell waiting requests how long
+ * they have to wait. Run times differ between sites by a factor of several.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** Duration of a run before any was seen: some tens of tokens. */
+/** Duration of a run before any was observed: some tens of tokens. */
 const INITIAL_RUN_MS = 1_000;
-/** Weight of the latest run in the mean duration: the runs of a few seconds count. */
+/**
+ * Weight of the latest run in the average, which so covers the runs of the last
+ * few seconds.
+ */
 const RUN_WEIGHT = 1 / 32;
-/** Time between slots that fall idle before any was seen: a run over some ten slots. */
+/**
+ * Interval between slot releases before any was observed: one run divided by
+ * about ten slots.
+ */
 const INITIAL_RELEASE_INTERVAL_MS = 100;
-/** Weight of the latest of these times in their mean, and the longest that counts: beyond, too little was asked for. */
+/**
+ * Weight of the latest interval in the average, and the longest interval that
+ * counts. A longer one is a lack of demand.
+ */
 const RELEASE_INTERVAL_WEIGHT = 1 / 8;
 const MAX_RELEASE_INTERVAL_MS = 1_000;
 
@@ -25,7 +34,7 @@
     return this.#meanRunMs;
   }
 
-  /** Mean time between slots that fall idle. */
+  /** Mean interval between the releases of adapter slots. */
   get slotReleaseIntervalMs(): Milliseconds {
     return this.#slotReleaseIntervalMs;
   }
@@ -34,7 +43,7 @@
     this.#meanRunMs += RUN_WEIGHT * (durationMs - this.#meanRunMs);
   }
 
-  /** Notes that the last run that used a slot has ended. */
+  /** Records that the last run that used an adapter slot has ended. */
   recordSlotReleased(now: Milliseconds): void {
     const sinceMs = now - (this.#lastReleaseAt ?? now);
     this.#lastReleaseAt = now;
--- a/src/core/admission/stop_admission.ts
+++ b/src/core/admission/stop_admission.ts
@@ -1,29 +1,30 @@
 /**
- * Which requests a stopping daemon still takes. Load pattern: a rolling restart
- * in which the balancer goes on sending for some seconds, or has nobody else to
- * send to. What can be finished before the end is served; what can't is refused
- * at once, so that its caller goes elsewhere.
+ * Which requests a daemon admits during graceful shutdown. In a rolling
+ * restart, the load balancer keeps sending requests for some seconds, or has no
+ * other daemon to send them to. A request that can complete before the end is
+ * served. Any other is refused at once so that its caller can go elsewhere.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** Time that one generated token takes in a full batch. */
+/** Time to generate one token in a full batch. */
 const OUTPUT_TOKEN_MS = 9;
-/** Prompt tokens read in a millisecond, with others' work in between. */
+/** Prompt tokens prefilled per millisecond, interleaved with other requests. */
 const PROMPT_TOKENS_PER_MS = 12;
-/** Objectives within which a request to a plain service is over. */
+/** Latency objectives within which a request to a plain service completes. */
 const SERVICE_LATENCY_OBJECTIVES = 3;
-/** Added for waiting and ways. */
+/** Margin for queueing and network round trips. */
 const SLACK_MS = 700;
 
 /**
- * Time from the notice of a stop in which generations are taken. By then the
- * balancer has asked twice, so that who comes later finds another daemon; and how
- * long a crowded engine takes can't be told: what is sent within three seconds may
- * be broken off at the end (the users' pages), what is sent later may not.
+ * Time after the stop notice in which generations are admitted. By then the
+ * load balancer has polled twice, so that later requests reach another daemon.
+ * How long a crowded engine takes can't be predicted: a request sent within
+ * three seconds of the notice may be cut off at the end (requirement), a later
+ * one may not.
  */
 const GENERATION_WINDOW_MS = 2_500;
 
-/** Returns whether a daemon that has been told to stop still takes a request. */
+/** Returns whether a daemon that is shutting down admits a request. */
 export function canAdmitWhileStopping(
   stop: { beganAt: Milliseconds; endsAt: Milliseconds },
   request: RequestWork,
@@ -34,7 +35,7 @@
   return canFinishBefore(stop.endsAt, request, now);
 }
 
-/** What a request takes. */
+/** The work that a request takes. */
 export interface RequestWork {
   isGeneration: boolean;
   promptTokens: number;
--- a/src/core/placement/adapter_demand.ts
+++ b/src/core/placement/adapter_demand.ts
@@ -1,33 +1,43 @@
 /**
- * How much each adapter is asked for here, so that those in wide use get homes near
- * their callers. Load pattern: a few adapters out of thousands receive most of the
- * requests, and which they are changes; one home would be their bottleneck, and
- * three callers in four would reach it through another failure domain.
+ * Request rate of each adapter at this host, by which popular adapters get
+ * replicas near their callers. A few adapters out of thousands receive most of
+ * the requests, and which ones changes. A single engine would be their
+ * bottleneck, and three out of four callers would reach it across failure
+ * domains.
  */
 import { computeDecay } from "../decay.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** What a caller's request asks of an engine, as far as demand goes. */
+/** A request, as far as it counts for demand. */
 export interface DemandSample {
   adapterPath: string;
   /** Prompt tokens that no other request shares. */
   unsharedPromptTokens: number;
 }
 
-/** How much an adapter is asked for at this host, decayed. */
+/** Decayed request rate of an adapter at this host. */
 export interface AdapterDemandRate {
   requestsPerMs: number;
   tokensPerMs: number;
 }
 
-/** Time in which a request loses half of its weight: long against a run, short against changes of demand. */
+/**
+ * Half-life of a request's weight: long compared with a run, short compared
+ * with changes of demand.
+ */
 const HALF_LIFE_MS = 5_000;
 const TIME_CONSTANT_MS = HALF_LIFE_MS / Math.LN2;
-/** Decayed requests below which no rate is told: a host of a large fleet sees so few that one or two say nothing. */
+/**
+ * Decayed number of requests below which the rate is reported as zero. A host
+ * of a large fleet sees so few requests that one or two are not significant.
+ */
 const MIN_SIGNIFICANT_REQUESTS = 3;
-/** Adapters that are remembered; those that are asked for least are forgotten first. */
+/**
+ * Maximum number of adapters that are tracked; the least requested ones are
+ * removed first.
+ */
 const MAX_TRACKED_ADAPTERS = 1_000;
-/** Decayed requests below which an adapter is forgotten. */
+/** Decayed number of requests below which an adapter may be removed. */
 const MIN_TRACKED_REQUESTS = 0.05;
 
 interface Demand {
@@ -43,7 +53,7 @@
     const { adapterPath, unsharedPromptTokens: ownTokens } = sample;
     const before = this.#demands.get(adapterPath);
     const kept = before ? computeDemandDecay(before, now) : 0;
-    // The last one asked for comes last, so that the first is the oldest.
+    // Reinserts the adapter at the end, so that the first key is the oldest.
     this.#demands.delete(adapterPath);
     this.#demands.set(adapterPath, {
       requests: (before?.requests ?? 0) * kept + 1,
--- a/src/core/placement/adapter_path.ts
+++ b/src/core/placement/adapter_path.ts
@@ -1,6 +1,6 @@
-/** How an adapter of a model is named within the gateway. */
+/** Names of adapters within the gateway. */
 
-/** Returns `model/adapter`, or the model's name for its base without an adapter. */
+/** Returns `model/adapter`, or the name of the model for its base model. */
 export function formatAdapterPath(model: string, adapter: string): string {
   return adapter === "" ? model : `${model}/${adapter}`;
 }
--- a/src/core/placement/adapter_slots.ts
+++ b/src/core/placement/adapter_slots.ts
@@ -1,8 +1,8 @@
 /**
- * The adapter slots of one engine: what is resident, on its way or in use, what
- * yields when room is wanted, and how long a load will take. Load pattern: many
- * rarely used adapters sweep through few slots while a few stay busy; what was
- * evicted lately loads ten times as fast from the engine's own memory.
+ * The adapter slots of one engine: which adapters are loaded, loading or in
+ * use, which one to evict, and how long a load will take. Many rarely used
+ * adapters pass through few slots while a few adapters stay busy. A recently
+ * evicted adapter loads ten times as fast, from host memory.
  */
 import { computeDecay } from "../decay.ts";
 import type { Milliseconds } from "../structures.ts";
@@ -11,57 +11,92 @@
   FetchShare,
 } from "./fetch_concurrency_limit.ts";
 
-/** A draining adapter was evicted while runs used it: its slot is not free until the engine reports it gone. */
+/**
+ * A draining adapter was evicted while runs were using it: its slot is not free
+ * until the engine reports the adapter gone.
+ */
 export type AdapterSlotState = "loading" | "resident" | "draining";
 
 export interface AdapterSlot {
   adapterPath: string;
-  /** Version that it has, or will have; undefined when not told. */
+  /** Loaded or loading version; undefined when unknown. */
   version: number | undefined;
   state: AdapterSlotState;
-  /** When its load from the weight store was ordered, and how many were on the way then; undefined for others. */
+  /**
+   * For a fetch from the weight store: when it was ordered and how many were in
+   * flight then. Undefined for other loads.
+   */
   fetch:
     | Pick<FetchObservation, "orderedAt" | "crowd" | "isLast" | "isOnlyOwn">
     | undefined;
-  /** When a load is taken to be done. */
+  /** When its load is expected to be complete. */
   readyAt: Milliseconds;
-  /** Whether a request or the engine has shown that it is there to stay. */
+  /**
+   * Whether a served request or the engine's report has confirmed that the
+   * adapter is loaded.
+   */
   isConfirmed: boolean;
-  /** Requests that may use it. */
+  /** Permits of requests that may use it. */
   permitIds: Set<string>;
   lastUsedAt: Milliseconds;
-  /** Decayed count of uses. */
+  /** Exponentially decayed number of uses. */
   decayedUses: number;
 }
 
-/** First estimate of a load from the weight store; the users' sheets give 250 and 288 ms. */
+/**
+ * Initial estimate of a fetch from the weight store; the site specifications
+ * give 250 and 288 ms.
+ */
 const INITIAL_FETCH_MS = 260;
-/** First estimate of a load of an adapter that the engine held lately. */
+/**
+ * Initial estimate of the reload of an adapter that the engine held recently.
+ */
 const RELOAD_MS = 35;
-/** Adapters that an engine is taken to keep in its memory beside its slots, for each of these; a reload is faster from there. */
+/**
+ * Number of evicted adapters per slot that an engine is assumed to keep in host
+ * memory, from where they reload faster.
+ */
 const HOST_CACHED_ADAPTERS_PER_SLOT = 5;
-/** Part of the loads at full speed below which a new load starts at once. */
+/**
+ * Fraction of the fetch limit up to which a new fetch starts without queueing.
+ */
 const UNQUEUED_FRACTION = 0.5;
-/** Time in which a use loses half of its weight. */
+/** Half-life of the weight of a use. */
 const USE_HALF_LIFE_MS = 15_000;
-/** Bounds and steps of the factor by which the estimate of a load follows what is seen. */
+/**
+ * Upper bound of the slowdown, which scales the estimate of a load, and its
+ * change with each late load and each load on time.
+ */
 const MAX_SLOWDOWN = 3;
 const SLOWDOWN_GROWTH = 1.12;
 const SLOWDOWN_DECAY = 0.97;
-/** Least factor for a while after a load was late: the sheets' loads differ by as much, what is beyond is a crowd that passes. */
+/**
+ * Lower bound of the slowdown for a while after a late load. The sites' load
+ * times differ by as much; a greater slowdown comes from concurrent loads and
+ * is temporary.
+ */
 const MIN_RECENT_SLOWDOWN = 1.12;
-/** That while: long against the seconds between loads. */
+/**
+ * Time for which the lower bound holds: long compared with the seconds between
+ * loads.
+ */
 const LATE_LOAD_MEMORY_MS = 30_000;
-/** Time without a late load after which what slowed them has passed, also where no first token tells so. */
+/**
+ * Time without a late load after which the slowdown is reset, even if no first
+ * token has shown that loads are on time again.
+ */
 const SLOWDOWN_LIFETIME_MS = 5_000;
-/** Time by which a load may be later than its estimate. */
+/** Time by which a load may exceed its estimate. */
 export const MAX_LOAD_LATENESS_MS = 1_200;
-/** Longest time for which a load that is not done is waited for before the engine is asked. */
+/**
+ * Time after the expected end of a load after which the engine is asked about
+ * it.
+ */
 const LOAD_TIMEOUT_MS = 3_000;
 
 export class AdapterSlots {
   #capacity: number;
-  /** What is known of loads from the weight store, over all engines. */
+  /** State of the fetches from the weight store, across all engines. */
   #share: Omit<FetchShare, "canFetch"> = {
     fleetFetches: 0,
     fetchLimit: 1,
@@ -70,11 +105,14 @@
     fetchesPerEngine: 1,
   };
   #observations: FetchObservation[] = [];
-  /** How much longer loads take than the first estimate. */
+  /** Factor by which loads take longer than the initial estimate. */
   #slowdown = 1;
   #lastLateAt = Number.NEGATIVE_INFINITY;
   readonly #slots = new Map<string, AdapterSlot>();
-  /** Adapters that were evicted lately, oldest first. */
+  /**
+   * Recently evicted adapters, which the engine still holds in host memory,
+   * oldest first.
+   */
   readonly #hostCached = new Set<string>();
 
   constructor(capacity: number) {
@@ -89,7 +127,7 @@
     this.#share = share;
   }
 
-  /** Returns what has been seen of loads from the weight store, and forgets it. */
+  /** Returns the observed fetches from the weight store and removes them. */
   takeObservations(): FetchObservation[] {
     const observations = this.#observations;
     this.#observations = [];
@@ -113,7 +151,9 @@
     return this.#slots.size < this.#capacity;
   }
 
-  /** Returns whether loading the adapter calls on the weight store. */
+  /**
+   * Returns whether loading the adapter takes a fetch from the weight store.
+   */
   needsFetch(adapterPath: string): boolean {
     return !this.#hostCached.has(adapterPath);
   }
@@ -122,19 +162,25 @@
   estimateLoadMs(adapterPath: string): Milliseconds {
     if (!this.needsFetch(adapterPath)) return RELOAD_MS;
     const crowding = this.#countConcurrentFetches() / this.#share.fetchLimit;
-    // What the crowd explains is seen as slowness, too: only the greater counts.
+    // Contention also shows up as slowdown, so only the greater of the two
+    // counts.
     const factor = Math.max(this.#slowdown, crowding);
     return INITIAL_FETCH_MS * Math.min(MAX_SLOWDOWN, factor);
   }
 
-  /** Returns how long a load waits for those that wait before it here. */
+  /**
+   * Returns how long a load queues behind the given number of loads at this
+   * engine.
+   */
   estimateEngineQueueMs(adapterPath: string, before: number): Milliseconds {
     if (!this.needsFetch(adapterPath)) return 0;
     return INITIAL_FETCH_MS * this.#slowdown * before /
       this.#share.fetchesPerEngine;
   }
 
-  /** Returns how long a load waits for others of the weight store. */
+  /**
+   * Returns how long a load queues behind other fetches from the weight store.
+   */
   estimateStoreQueueMs(adapterPath: string): Milliseconds {
     if (!this.needsFetch(adapterPath)) return 0;
     const { fleetFetches, fetchLimit: fullSpeedFetches } = this.#share;
@@ -143,9 +189,9 @@
   }
 
   /**
-   * Returns the adapters that are there and that no request uses. One that was
-   * only estimated to be there is left out: the engine confirms its eviction
-   * without counting it, and loads it all the same.
+   * Returns the loaded adapters that no request uses. One that is only
+   * estimated to be loaded is left out: the engine would confirm its eviction
+   * without counting it, and load it all the same.
    */
   listIdle(now: Milliseconds): AdapterSlot[] {
     return this.listSlots().filter((place) =>
@@ -154,7 +200,9 @@
     );
   }
 
-  /** Returns the idle adapter that yields first, or undefined when all are in use. */
+  /**
+   * Returns the idle adapter to evict first, or undefined when all are in use.
+   */
   findEvictionVictim(now: Milliseconds): AdapterSlot | undefined {
     let best: AdapterSlot | undefined;
     for (const place of this.listIdle(now)) {
@@ -199,7 +247,9 @@
     if (oldest !== undefined) this.#hostCached.delete(oldest);
   }
 
-  /** Notes an eviction that waits for runs that are not known here. */
+  /**
+   * Records an eviction that waits for runs that this daemon doesn't know of.
+   */
   recordDraining(adapterPath: string): void {
     const place = this.#slots.get(adapterPath);
     if (place) place.state = "draining";
@@ -215,7 +265,7 @@
     place.permitIds.add(permitId);
   }
 
-  /** Takes loads whose time has come for done; returns them. */
+  /** Marks loads as done whose expected end has passed, and returns them. */
   completeLoads(now: Milliseconds): AdapterSlot[] {
     const isPast = now - this.#lastLateAt > SLOWDOWN_LIFETIME_MS;
     if (isPast && this.#slowdown > MIN_RECENT_SLOWDOWN) this.#slowdown = 1;
@@ -226,20 +276,23 @@
     return done;
   }
 
-  /** Notes that a load has taken no longer than estimated. */
+  /** Records that a load took no longer than estimated. */
   recordLoadOnTime(now: Milliseconds): void {
     const isRemembered = now - this.#lastLateAt < LATE_LOAD_MEMORY_MS;
     const floor = isRemembered ? MIN_RECENT_SLOWDOWN : 1;
     this.#slowdown = Math.max(floor, this.#slowdown * SLOWDOWN_DECAY);
   }
 
-  /** Notes that a request was served with the adapter: its load was done when that was sent. */
+  /**
+   * Records that a request was served with the adapter, so that its load was
+   * done when the request was sent.
+   */
   recordLoadConfirmed(place: AdapterSlot): void {
     place.isConfirmed = true;
     this.#recordFetchObservation(place, place.readyAt, true);
   }
 
-  /** Notes that the engine was not ready for the adapter yet. */
+  /** Records that the engine had not loaded the adapter yet. */
   recordLoadLate(
     place: AdapterSlot,
     delayMs: Milliseconds,
@@ -254,7 +307,10 @@
     this.#delayLoad(place, delayMs, now);
   }
 
-  /** Returns how many loads from the weight store are on the way with one that starts now. */
+  /**
+   * Returns how many fetches from the weight store are in flight, including one
+   * that starts now.
+   */
   #countConcurrentFetches(): number {
     return this.#share.fleetFetches + 1;
   }
@@ -280,7 +336,10 @@
     place.readyAt = now + delayMs;
   }
 
-  /** Puts what the engine reported in place of what was believed; permits are kept. */
+  /**
+   * Replaces the assumed state of the slots with the engine's report; permits
+   * are kept.
+   */
   reconcile(
     adapters: ReadonlyMap<string, { version: number; isLoading: boolean }>,
     now: Milliseconds,
@@ -292,7 +351,8 @@
       const known = this.#slots.get(adapterPath);
       const place = known ?? this.#createSlot(adapterPath, now);
       place.version = version;
-      // What was evicted and is still there drains: it can't be evicted again.
+      // An evicted adapter that is still reported is draining and can't be
+      // evicted again.
       const isDraining = this.#hostCached.has(adapterPath);
       place.isConfirmed = !isLoading && !isDraining;
       const isNewlyLoading = isLoading && place.state !== "loading";
@@ -304,7 +364,9 @@
     }
   }
 
-  /** Returns whether a load is so late that the engine should be asked. */
+  /**
+   * Returns whether a load is so late that the engine should be asked about it.
+   */
   hasOverdueLoad(now: Milliseconds): boolean {
     return this.listSlots().some((place) =>
       place.state === "loading" && now - place.readyAt > LOAD_TIMEOUT_MS
@@ -336,7 +398,7 @@
     computeDecay(now - place.lastUsedAt, USE_HALF_LIFE_MS);
 }
 
-/** Frequency first, recency among equals. */
+/** Ranks by frequency of use, then by recency. */
 function getRetentionScore(place: AdapterSlot, now: Milliseconds): number {
   return computeDecayedUses(place, now);
 }
--- a/src/core/placement/domain_reachability.ts
+++ b/src/core/placement/domain_reachability.ts
@@ -1,17 +1,24 @@
 /**
- * Whether the upstreams of a failure domain can be reached from here. Load pattern:
- * a failure domain is cut off silently for some seconds; every attempt at one of its
- * upstreams costs a connect time-out, and each upstream would be found out alone and
- * tried again soon. One failure counts for all of them while no peer of that failure
- * domain is heard; the first heartbeat from there ends it.
+ * Tracks whether the upstreams of a failure domain are reachable from this
+ * host. During a silent network partition of some seconds, every attempt at one
+ * of the domain's upstreams costs a connect timeout, and each upstream would be
+ * detected separately and soon be tried again. Therefore one failed attempt
+ * counts for all upstreams of the failure domain while no heartbeat from a peer
+ * there arrives. The first heartbeat from there ends it.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** Time after which one more attempt is made: a failure domain may have no peer that could be heard. */
+/**
+ * Time after which an attempt is made again, since a failure domain may have no
+ * peer that could send heartbeats.
+ */
 const PROBE_INTERVAL_MS = 3_000;
 
 export class DomainReachability {
-  /** When an attempt failed last, by failure domain; none since a success. */
+  /**
+   * Time of the last failed attempt, by failure domain; removed after a
+   * success.
+   */
   readonly #failedAt = new Map<string, Milliseconds>();
 
   recordUnreachable(failureDomain: string, now: Milliseconds): void {
@@ -33,7 +40,7 @@
       now - failedAt < PROBE_INTERVAL_MS;
   }
 
-  /** Returns the upstreams that can be reached, or all where none can. */
+  /** Returns the reachable upstreams, or all of them if none is reachable. */
   selectReachable<T extends { failureDomain: string }>(
     upstreams: readonly T[],
     isHeard: (failureDomain: string) => boolean,
--- a/src/core/placement/fetch_concurrency_limit.ts
+++ b/src/core/placement/fetch_concurrency_limit.ts
@@ -1,120 +1,178 @@
 /**
- * How many loads from the weight store go at full speed together, found out from
- * how long the own ones take. Load pattern: far more adapters are asked for than
- * engines hold; the store gives each load its full speed up to a number that
- * nobody publishes and that differs from site to site, and beyond it all loads grow
- * longer in proportion. The estimate rises with each load that was done in time
- * beside its host's share of others, and falls when one was late there. Hosts
- * tell each other what they have found, and agree.
+ * Adaptive concurrency limit for fetches from the weight store. Far more
+ * adapters are requested than engines hold. The store serves fetches at full
+ * speed up to a number that is not published and differs from site to site;
+ * beyond it, all fetches take proportionally longer. The limit is an estimate
+ * of that number, derived from how long this host's own fetches take: it rises
+ * with each fetch that was on time while the host had its share of the limit in
+ * flight, and falls when a fetch was late. Hosts exchange their estimates,
+ * which so converge.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** What is known of one load from the weight store. */
+/** An observed fetch from the weight store. */
 export interface FetchObservation {
   orderedAt: Milliseconds;
-  /** Loads that were on the way with it, as far as was known, itself included. */
+  /**
+   * Fetches in flight at the same time, as far as was known, including this
+   * one.
+   */
   crowd: number;
   /** Time that it took, or has taken so far. */
   durationMs: Milliseconds;
-  /** Whether the adapter is there: otherwise it will take longer still. */
+  /**
+   * Whether the adapter is loaded; otherwise the fetch will take longer still.
+   */
   isDone: boolean;
-  /** Whether the host had its share on the way with it. */
+  /**
+   * Whether the host had its share of the limit in flight, including this one.
+   */
   isLast: boolean;
-  /** Whether its host had no other on the way, and the others one each at most. */
+  /**
+   * Whether its host had no other fetch in flight, and the other hosts at most
+   * one each.
+   */
   isOnlyOwn: boolean;
 }
 
-/** What a host knows of loads on their way. */
+/** Fetches in flight, as known to one host. */
 export interface FetchCount {
-  /** Its own. */
+  /** Fetches of this host. */
   ownFetches: number;
-  /** Those that others say they have; undefined where not all are heard. */
+  /**
+   * Fetches that the other hosts report; undefined when not all of them are
+   * heard.
+   */
   peerFetches: number | undefined;
-  /** Its share of the engines, as a part of all; at least one engine's. */
+  /**
+   * Fraction of all engines that this host owns, at least that of one engine.
+   */
   engineShare: number;
-  /** Hosts that hold engines. */
+  /** Number of hosts that own engines. */
   owners: number;
 }
 
-/** What follows for the next load of a host. */
+/** Conditions for the next fetch of a host. */
 export interface FetchShare {
-  /** Loads on their way over all hosts, as far as can be told. */
+  /** Estimated fetches in flight over all hosts. */
   fleetFetches: number;
-  /** How many of these go at full speed together. */
+  /** How many of these run at full speed at the same time. */
   fetchLimit: number;
   canFetch: boolean;
-  /** Whether the host has its share on the way with one more. */
+  /** Whether one more fetch brings the host to its share of the limit. */
   isAtHostShare: boolean;
-  /** Whether it has none on the way, and the others have one each at most. */
+  /**
+   * Whether the host has no fetch in flight, and the others have at most one
+   * each.
+   */
   isAtMinConcurrency: boolean;
-  /** Loads at once that an engine can count on. */
+  /** Concurrent fetches that each engine can count on. */
   fetchesPerEngine: number;
 }
 
-/** First estimate, before any load has told: the least and the part of an engine's of the users' first sites. */
+/**
+ * Initial limit, before any fetch was observed: a minimum, and a number per
+ * engine, both taken from the users' first sites.
+ */
 const MIN_INITIAL_LIMIT = 8;
 const INITIAL_LIMIT_PER_ENGINE = 0.65;
-/** Adapters on their way to one engine, at most: the platform's bound. */
+/** Maximum number of loads in progress per engine, set by the platform. */
 export const MAX_LOADING = 4;
-/** Loads that one host may have on the way in any case, while the store has room. */
+/** Fetches that every host may have in flight while the store has capacity. */
 const MIN_HOST_FETCH_CAP = 3;
-/** The same in parts of an even share: demand is uneven. */
+/** The same as a multiple of an even share, since demand is uneven. */
 const HOST_SHARE_FACTOR = 1.5;
-/** Longest duration of a load at full speed, in parts of the quickest one: the look at a load comes up to a quarter late. */
+/**
+ * Longest duration of a fetch at full speed, as a multiple of the shortest one:
+ * completion is detected up to a quarter late.
+ */
 const MAX_FULL_SPEED_RATIO = 1.25;
-/** Part of the estimate beyond which loads on the way may be the cause of a long one. */
+/**
+ * Fraction of the limit above which the fetches in flight may explain a long
+ * one.
+ */
 const CONGESTED_FRACTION = 0.5;
-/** Loads in time, one after the other, after which the estimate is taken for much too low. */
+/**
+ * Consecutive fetches on time after which the limit is considered much too low.
+ */
 const FAST_GROWTH_STREAK = 16;
-/** Growth for a load in time before any was late, as a part of the estimate: each host has a few on the way, so that these double it. */
+/**
+ * Growth with each fetch on time until the first late one, as a fraction of the
+ * limit. As in TCP's slow start, the few fetches that each host has in flight
+ * double it.
+ */
 const SLOW_START_GROWTH = 0.3;
-/** The same after a streak of loads in time, and for a load that the host had alone: then it sees few. */
+/**
+ * Growth with each fetch on time after a streak of them, and for a fetch that
+ * the host had alone in flight, since it then observes few.
+ */
 const FAST_GROWTH = 0.12;
-/** Growth for any other load in time, as a part of the estimate. */
+/** Growth with any other fetch on time, as a fraction of the limit. */
 const NORMAL_GROWTH = 0.04;
-/** Parts of the estimate that are kept when a load was late: as much as it was late by, within these. */
+/**
+ * Bounds of the factor by which a late fetch lowers the limit. Within them, the
+ * factor is the inverse of the lateness.
+ */
 const MIN_DECREASE_FACTOR = 0.5;
 const MAX_DECREASE_FACTOR = 0.85;
-/** The same part down to which the estimate does not fall below the first one. */
+/**
+ * Factor above which a decrease does not take the limit below its initial
+ * value.
+ */
 const MILD_DECREASE_FACTOR = 0.75;
-/** Least estimate: one load after the other. */
+/** Lowest limit: one fetch at a time. */
 const MIN_LIMIT = 1;
-/** Part of the way to the mean of what others have found that a host goes each time it hears of it. */
+/** Weight of the mean of the peers' limits in each update from them. */
 const PEER_AVERAGING_WEIGHT = 0.3;
-/** Duration of a load at full speed before any was seen; the users' sheets give 250 and 288 ms. */
+/**
+ * Duration of a fetch at full speed before any was observed; the site
+ * specifications give 250 and 288 ms.
+ */
 const INITIAL_MIN_DURATION_MS = 290;
-/** Time for which the quickest load is remembered, in two halves: long against a load, short against a day's changes. */
+/**
+ * Length of each of the two buckets in which the shortest duration is kept:
+ * long compared with a fetch, short compared with the changes in a day.
+ */
 const MIN_DURATION_BUCKET_MS = 15_000;
-/** Time for which the figure of the users' sheets counts as well, which may be wrong here. */
+/**
+ * Time for which the specified duration counts as well; it may be wrong for
+ * this site.
+ */
 const INITIAL_MIN_DURATION_LIFETIME_MS = 3_000;
 
 export class FetchConcurrencyLimit {
   #limit = MIN_INITIAL_LIMIT;
   #initialLimit = MIN_INITIAL_LIMIT;
   #hasLocalSamples = false;
-  /** Whether a load was late. */
+  /** Whether any fetch was late. */
   #hasSeenLateLoad = false;
-  /** Loads in time since the last late one. */
+  /** Fetches on time since the last late one. */
   #onTimeStreak = 0;
   #decreasedAt = Number.NEGATIVE_INFINITY;
   #minDurationMs = Number.POSITIVE_INFINITY;
   #previousMinDurationMs = Number.POSITIVE_INFINITY;
   #bucketStartedAt: Milliseconds | undefined;
-  /** When a load was seen first. */
+  /** When the first fetch was observed. */
   #firstSampleAt: Milliseconds | undefined;
   #engineCount = 1;
 
-  /** Loads that go at full speed together, as far as is known. */
+  /** Estimated number of fetches that run at full speed at the same time. */
   get limit(): number {
     return this.#limit;
   }
 
-  /** The same where it rests on this host's own loads, to be told to others. */
+  /**
+   * The limit to publish to peers; undefined until it rests on this host's own
+   * fetches.
+   */
   get measuredLimit(): number | undefined {
     return this.#hasLocalSamples ? this.#limit : undefined;
   }
 
-  /** Takes in what the others have found: each sees a few loads only. */
+  /**
+   * Moves the limit towards the mean of the peers' limits, since each host
+   * observes few fetches.
+   */
   recordPeerLimits(findings: readonly number[]): void {
     if (findings.length === 0) return;
     const mean = findings.reduce((sum, each) => sum + each, 0) /
@@ -122,7 +180,7 @@
     this.#limit += PEER_AVERAGING_WEIGHT * (mean - this.#limit);
   }
 
-  /** Sets the number of engines, by which the first estimate goes. */
+  /** Sets the number of engines, which determines the initial limit. */
   setEngineCount(engines: number): void {
     this.#engineCount = Math.max(1, engines);
     if (this.#hasLocalSamples) return;
@@ -133,7 +191,10 @@
     this.#limit = this.#initialLimit;
   }
 
-  /** Returns whether a host may start a load, and beside how many. */
+  /**
+   * Returns whether a host may start a fetch, and the conditions that it would
+   * run under.
+   */
   computeShare(count: FetchCount): FetchShare {
     const share = this.#limit * count.engineShare;
     return {
@@ -151,7 +212,10 @@
     };
   }
 
-  /** What others have on the way is known late, so each host keeps to a few, and each gets on with one and with its even share. */
+  /**
+   * The peers' fetches are known with a delay, so each host is limited to a
+   * few. Every host may have one in flight, and as many as its even share.
+   */
   #canFetch(count: FetchCount): boolean {
     const share = this.#limit * count.engineShare;
     return count.ownFetches === 0 || count.ownFetches < Math.floor(share) ||
@@ -163,7 +227,7 @@
   recordFetch(fetch: FetchObservation, now: Milliseconds): void {
     const crowding = Math.max(1, fetch.crowd / this.#limit);
     const alikeMs = fetch.durationMs / crowding;
-    // Where each host has one on the way at most, none can be quicker.
+    // With at most one fetch per host in flight, none can be faster.
     const isAtFullSpeed = fetch.isOnlyOwn || fetch.crowd <= this.#limit;
     if (fetch.isDone && isAtFullSpeed) {
       this.#recordFullSpeedDuration(fetch.durationMs, now);
@@ -183,7 +247,7 @@
       return;
     }
     this.#onTimeStreak += 1;
-    // No more can be on the way: the platform bounds them by engine.
+    // More can't be in flight, since the platform limits the loads per engine.
     const most = MAX_LOADING * this.#engineCount;
     this.#limit = Math.min(
       Math.max(most, this.#limit),
@@ -198,7 +262,10 @@
     return growth * this.#limit;
   }
 
-  /** Lowers the estimate, once for all loads that were on the way together. */
+  /**
+   * Lowers the limit, once for all fetches that were in flight at the same
+   * time.
+   */
   #recordLateLoad(
     part: number,
     orderedAt: Milliseconds,
@@ -212,7 +279,8 @@
       MAX_DECREASE_FACTOR,
       Math.max(MIN_DECREASE_FACTOR, part),
     );
-    // What others have on the way is known late: a load that is a little late tells nothing against the first estimate.
+    // The peers' fetches are known with a delay, so a fetch that is a little
+    // late is no evidence against the initial limit.
     const least = part > MILD_DECREASE_FACTOR
       ? Math.min(this.#initialLimit, this.#limit)
       : MIN_LIMIT;
@@ -242,7 +310,10 @@
   }
 }
 
-/** Where others are not heard, each is taken to have as many on the way for each of its engines as this one. */
+/**
+ * Where not all peers are heard, each is assumed to have as many fetches in
+ * flight per engine as this host.
+ */
 function estimateFleetFetches(
   { ownFetches: own, peerFetches: others, engineShare }: FetchCount,
 ): number {
--- a/src/core/placement/upstream_backoff.ts
+++ b/src/core/placement/upstream_backoff.ts
@@ -1,14 +1,13 @@
 /**
- * Upstreams that turned a request of this host away and named a time for which
- * they want no other from it. Load pattern: an upstream beyond its capacity,
- * which each request that still reaches it keeps there. The time holds for this
- * host and that start of the upstream alone; while it runs, requests go
- * elsewhere, and where every upstream has named one, callers are told at once
- * when the first of them takes requests again.
+ * Backoff times of upstreams that rejected a request of this host. An upstream
+ * that is over capacity stays so with each request that still reaches it. A
+ * backoff applies to requests of this host to this instance of the upstream
+ * only. Until it ends, requests go to other upstreams; if all upstreams are in
+ * backoff, callers are told at once when the first one accepts requests again.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** An upstream, and the start of it that is meant. */
+/** An upstream, and which start of its process is meant. */
 export interface UpstreamInstance {
   id: string;
   /** Unix time of its start; 0 when unknown. */
@@ -23,7 +22,10 @@
 export class UpstreamBackoff {
   readonly #backoffs = new Map<string, Backoff>();
 
-  /** Notes that the upstream wants no request for the given time; a shorter time does not end a longer one. */
+  /**
+   * Records that the upstream accepts no requests for the given time. A shorter
+   * backoff does not end a longer one.
+   */
   recordBackoff(
     upstream: UpstreamInstance,
     retryAfterMs: Milliseconds,
@@ -42,14 +44,16 @@
     });
   }
 
-  /** Returns the time for which the upstream still wants no request, 0 when it takes them. */
+  /**
+   * Returns how long the upstream still accepts no requests; 0 when it does.
+   */
   getRemainingMs(upstream: UpstreamInstance, now: Milliseconds): Milliseconds {
     const backoff = this.#backoffs.get(upstream.id);
     const isSameStart = backoff?.bornAtUnixMs === upstream.bornAtUnixMs;
     return backoff && isSameStart ? Math.max(0, backoff.until - now) : 0;
   }
 
-  /** Returns the upstreams that take requests of this host. */
+  /** Returns the upstreams that accept requests of this host. */
   listAvailable<Upstream extends UpstreamInstance>(
     upstreams: readonly Upstream[],
     now: Milliseconds,
@@ -57,7 +61,10 @@
     return upstreams.filter((each) => this.getRemainingMs(each, now) === 0);
   }
 
-  /** Returns the time until one of the upstreams takes requests again; undefined where there is none. */
+  /**
+   * Returns the time until the first of the upstreams accepts requests;
+   * undefined if there are none.
+   */
   getShortestRemainingMs(
     upstreams: readonly UpstreamInstance[],
     now: Milliseconds,
--- a/src/core/placement/upstream_health.ts
+++ b/src/core/placement/upstream_health.ts
@@ -1,46 +1,56 @@
 /**
- * Judges upstreams by their own answers, since health checks may lie either way.
- * Load pattern: a part of the upstreams fails some requests, hangs, sheds or
- * turns slow while it reports itself healthy. Failures decay, so an upstream
- * that recovers is found out by the few requests that still reach it. Peers tell
- * each other of failing upstreams: all that is seen together shows a part that fails
- * where each host alone sees a few.
+ * Passive health checks: rates upstreams by the outcome of requests, since
+ * active health checks can be wrong in both directions. Some upstreams fail
+ * some requests, hang, shed load or become slow while they report themselves
+ * healthy. Failure counts decay, so that the few requests that still reach an
+ * upstream show its recovery. Hosts report failing upstreams to each other: the
+ * combined counts reveal a failure rate of which each host alone sees too few
+ * failures.
  */
 import { computeDecay } from "../decay.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** How one attempt at an upstream ended, as far as it speaks of the upstream. */
+/** Outcome of one attempt, as far as it concerns the health of the upstream. */
 export const HealthSignal = {
   Answered: "answered",
-  /** It failed the request, or broke it off. */
+  /** The upstream failed the request or aborted it. */
   Failed: "failed",
-  /** It rejected the request without running it. */
+  /** The upstream rejected the request without running it. */
   Rejected: "rejected",
-  /** No connection came about. */
+  /** No connection could be established. */
   Unreachable: "unreachable",
 } as const;
 export type HealthSignal = (typeof HealthSignal)[keyof typeof HealthSignal];
 
-/** Time in which what was seen loses half of its weight. */
+/** Half-life of the counts. */
 const HALF_LIFE_MS = 4_000;
-/** Answers that an upstream is credited with before any was seen. */
+/** Successful answers that are assumed before any was observed. */
 const PRIOR_SUCCESSES = 3;
-/** Time for which an upstream that can't be reached is passed over. */
+/** Time for which an unreachable upstream is avoided. */
 const UNREACHABLE_AVOIDANCE_MS = 1_500;
-/** Share of failures below which an upstream counts as sound, so that old ones do not keep it out. */
+/**
+ * Failure rate that counts as zero, so that old failures don't exclude an
+ * upstream.
+ */
 const NEGLIGIBLE_FAILURE_RATE = 0.05;
-/** Share of failures from which an upstream is taken for ill. */
+/** Failure rate from which an upstream is unhealthy. */
 const UNHEALTHY_FAILURE_RATE = 0.35;
-/** The same share over all hosts, which see more requests and so tell it sooner from chance. */
+/**
+ * The same rate over all hosts, which see more requests and so distinguish it
+ * sooner from chance.
+ */
 const UNHEALTHY_FLEET_FAILURE_RATE = 0.22;
-/** Failures over all hosts below which that share tells nothing. */
+/** Failures over all hosts below which that rate is not significant. */
 const MIN_FLEET_FAILURES = 3;
-/** Hosts that must have seen a failure: one alone may have a bad path to it. */
+/**
+ * Hosts that must have seen failures, since the network path of a single one
+ * may be bad.
+ */
 const MIN_REPORTING_HOSTS = 2;
-/** Failures from which a host tells its peers of an upstream. */
+/** Failures from which a host reports an upstream to its peers. */
 const MIN_PUBLISHED_FAILURES = 0.5;
 
-/** What a host has seen of an upstream that fails requests, recent ones foremost. */
+/** Decayed counts of a host for an upstream that fails requests. */
 export type OutcomeReport = [
   upstreamId: string,
   failed: number,
@@ -62,7 +72,7 @@
 
 export class UpstreamHealth {
   readonly #counts = new Map<string, OutcomeCounts>();
-  /** What peers have seen of failing upstreams. */
+  /** Combined reports of the peers on failing upstreams. */
   #reported: ReadonlyMap<string, ReportedOutcomes> = new Map();
 
   recordSignal(
@@ -89,7 +99,7 @@
     }
   }
 
-  /** Returns the share of attempts that fail there, 0 to 1, recent ones foremost. */
+  /** Returns the decayed rate of failed attempts, 0 to 1. */
   getFailureRate(upstreamId: string, now: Milliseconds): number {
     if (!this.#counts.has(upstreamId)) return 0;
     const { answered, failed } = this.#updateCounts(upstreamId, now);
@@ -97,7 +107,7 @@
     return share < NEGLIGIBLE_FAILURE_RATE ? 0 : share;
   }
 
-  /** Returns what this host has seen of upstreams that fail requests, to be told to peers. */
+  /** Returns this host's counts for failing upstreams, to be sent to peers. */
   listFailing(now: Milliseconds): OutcomeReport[] {
     return [...this.#counts.keys()].flatMap((upstreamId): OutcomeReport[] => {
       const { failed, answered } = this.#updateCounts(upstreamId, now);
@@ -107,7 +117,9 @@
     });
   }
 
-  /** Takes in what each living peer tells; replaces what was told before. */
+  /**
+   * Replaces the reports of the peers with those of all peers that are alive.
+   */
   recordReports(reports: readonly (readonly OutcomeReport[])[]): void {
     const reported = new Map<string, ReportedOutcomes>();
     for (const [upstreamId, failed, answered] of reports.flat()) {
@@ -122,7 +134,7 @@
     this.#reported = reported;
   }
 
-  /** Returns whether requests go elsewhere where they can. */
+  /** Returns whether requests should go to other upstreams if possible. */
   isAvoided(upstreamId: string, now: Milliseconds): boolean {
     if (this.#isUnhealthyFleetWide(upstreamId, now)) return true;
     const record = this.#counts.get(upstreamId);
@@ -131,7 +143,7 @@
       this.getFailureRate(upstreamId, now) >= UNHEALTHY_FAILURE_RATE;
   }
 
-  /** Returns whether all hosts together see the upstream fail too many requests. */
+  /** Returns whether the upstream's failure rate over all hosts is too high. */
   #isUnhealthyFleetWide(upstreamId: string, now: Milliseconds): boolean {
     const reported = this.#reported.get(upstreamId);
     if (!reported) return false;
--- a/src/core/placement/upstream_ranking.ts
+++ b/src/core/placement/upstream_ranking.ts
@@ -1,40 +1,54 @@
 /**
- * Ranks the upstreams for a request. Engines: an adapter has a home, drawn by
- * rendezvous, where it stays resident and where its prompts stay cached; the
- * next in the same order take copies when the home is full or too busy. One in
- * wide use has a home in each failure domain, and several where one would be
- * kept busy by it alone. Where the platform says that an engine holds the
- * adapter, that one comes before a home that would have to load it. Load
- * pattern: thousands of adapters with skewed popularity over a few slots each.
- * Plain services: the least loaded upstream by its own word, near ones first.
+ * Ranks the upstreams for a request.
+ *
+ * Engines: rendezvous hashing gives each adapter a preferred engine, where it
+ * stays loaded and its prompts stay cached. The next engines in the order hold
+ * replicas when the preferred one is full or too busy. A popular adapter has a
+ * replica in each failure domain, and several if it would saturate a single
+ * one. An engine that the platform reports to hold the adapter comes before one
+ * that would have to load it. This suits thousands of adapters of skewed
+ * popularity with a few slots per engine.
+ *
+ * Plain services: the least loaded upstream by its own report first, with a
+ * preference for the local failure domain.
  */
 import { hashText, rankByRendezvous } from "../hashing.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { PublishedUpstream } from "../view/published_view.ts";
 import type { UpstreamHealth } from "./upstream_health.ts";
 
-/** Engines that may take a copy of one adapter. */
+/** Maximum number of engines that may hold a replica of one adapter. */
 export const MAX_ADAPTER_REPLICAS = 6;
 
-/** Runs of an adapter that go on at once in a failure domain, from which it has a home there: its slot is seldom idle. */
+/**
+ * Concurrent runs of an adapter in a failure domain from which on it has a
+ * replica there: its slot is then rarely idle.
+ */
 const MIN_RUNS_FOR_LOCAL_REPLICA = 1;
-/** Part of an engine's reading that one adapter may take up before it gets a further home: as much is left for the rest of an even load. */
+/**
+ * Fraction of an engine's prefill capacity that one adapter may use before it
+ * gets another replica. It leaves as much for the other adapters as an even
+ * load needs.
+ */
 const MAX_REPLICA_PREFILL_FRACTION = 0.25;
 
-/** How much an adapter is asked for in the failure domain of the one who asks. */
+/** Demand for an adapter in the failure domain of the requesting daemon. */
 export interface DomainDemand {
   failureDomain: string;
-  /** Runs that go on at once. */
+  /** Number of concurrent runs. */
   concurrentRuns: number;
-  /** Prompt reading, in parts of what one engine reads. */
+  /** Prefill work, as a multiple of the capacity of one engine. */
   prefillLoad: number;
-  /** Whether each further home costs a load. */
+  /** Whether each further replica takes a load. */
   isLoadNeeded: boolean;
-  /** Spreads requests over several homes; another one for each request. */
+  /** Distributes requests over the replicas; differs for each request. */
   spreadKey: string;
 }
 
-/** Returns the engines for an adapter, its home first; ill ones come last. */
+/**
+ * Returns the engines for an adapter, the preferred one first and unhealthy
+ * ones last.
+ */
 export function rankEngines(
   adapterPath: string,
   engines: readonly PublishedUpstream[],
@@ -61,7 +75,7 @@
   ];
 }
 
-/** Returns those for which the condition holds, and the others, each in their order. */
+/** Splits values by a predicate and preserves their order. */
 function partition<T>(
   values: readonly T[],
   holds: (value: T) => boolean,
@@ -72,7 +86,10 @@
   return [those, others];
 }
 
-/** Puts the near homes of an adapter in wide use first, another one of them for each request. */
+/**
+ * Moves the local replicas of a popular adapter to the front, rotated by
+ * request.
+ */
 function moveLocalReplicasFirst(
   ranked: readonly PublishedUpstream[],
   demand: DomainDemand,
@@ -92,20 +109,26 @@
   return [...chosen, ...ranked.filter((each) => !chosen.includes(each))];
 }
 
-/** What is known of the load of a plain service's upstream. */
+/** Known load of an upstream of a plain service. */
 export interface ServiceLoad {
-  /** Requests that this daemon has there. */
+  /** Requests that this daemon has in flight there. */
   ownRunning: number;
-  /** Requests that run or wait there by its own word, others' included. */
+  /**
+   * Requests running or waiting there by the upstream's own report, including
+   * those of other daemons.
+   */
   reportedRunning: number;
   reportedAt: Milliseconds;
 }
 
-/** Age beyond which an upstream's word on its load is not used. */
+/** Age above which an upstream's report of its load is ignored. */
 const MAX_LOAD_REPORT_AGE_MS = 1_000;
-/** Load, in parts of all slots, that a hop to another failure domain is worth. */
+/**
+ * Load, as a fraction of all slots, that equals the cost of a hop to another
+ * failure domain.
+ */
 const CROSS_DOMAIN_PENALTY = 0.25;
-/** Load, in parts of all slots, that a failing upstream is charged. */
+/** Load, as a fraction of all slots, that is added for a failure rate of 1. */
 const FAILURE_PENALTY = 2;
 
 /** Returns the upstreams of a plain service, best first. */
@@ -115,7 +138,7 @@
     failureDomain: string;
     health: UpstreamHealth;
     getLoad: (upstreamId: string) => ServiceLoad | undefined;
-    /** Breaks ties; another one for each request. */
+    /** Breaks ties; differs for each request. */
     tieBreakKey: string;
   },
   now: Milliseconds,
--- a/test/core/admission/admission_controller_test.ts
+++ b/test/core/admission/admission_controller_test.ts
@@ -1,4 +1,7 @@
-/** Replays of loads at one engine's desk: slots, prompts, priorities and patience. */
+/**
+ * Admission to one engine: adapter slots, prefill backlog, priorities and
+ * waiting times.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { BatchCapacity } from "../../../src/core/admission/batch_capacity.ts";
@@ -42,7 +45,7 @@
   };
 }
 
-/** Carries out the wanted orders at once, as an engine without other work does. */
+/** Carries out the orders at once, like an engine without other work. */
 function carryOutOrders(desk: AdmissionController, now: number): EngineOrder[] {
   const orders: EngineOrder[] = [];
   for (
--- a/test/core/admission/batch_capacity_test.ts
+++ b/test/core/admission/batch_capacity_test.ts
@@ -1,4 +1,4 @@
-/** How fast an engine reads prompts is learnt from long ones; short ones tell nothing. */
+/** The estimated prefill rate follows long prompts and ignores short ones. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { BatchCapacity } from "../../../src/core/admission/batch_capacity.ts";
@@ -12,7 +12,10 @@
   };
 }
 
-/** Reads prompts one after the other at a speed; returns the estimate for a further one. */
+/**
+ * Runs prompts one after the other at a given rate; returns the estimate for
+ * another prompt.
+ */
 function play(promptTokens: number, tokensPerMs: number): number {
   const room = new BatchCapacity({
     batchSize: 64,
--- a/test/core/admission/permit_release_retry_queue_test.ts
+++ b/test/core/admission/permit_release_retry_queue_test.ts
@@ -1,4 +1,7 @@
-/** Returns of permits that a cut held up are sent again once their holder is heard, not for ever. */
+/**
+ * Permit releases that a network partition held up are sent again once the
+ * owner is alive, until the permit expires.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { PermitReleaseRetryQueue } from "../../../src/core/admission/permit_release_retry_queue.ts";
--- a/test/core/admission/permit_wait_test.ts
+++ b/test/core/admission/permit_wait_test.ts
@@ -1,9 +1,12 @@
-/** Waits for a place end while the caller is still there. */
+/** Waits for a permit end while the caller is still connected. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { computeMaxPermitWaitMs } from "../../../src/core/admission/permit_wait.ts";
 
-/** Callers leave a stream after four objectives without an event, two seconds at the least. */
+/**
+ * Callers abandon a stream after four objectives without an event, two seconds
+ * at the least.
+ */
 const LEAVES_AT = (objectiveMs: number) => Math.max(2_000, 4 * objectiveMs);
 
 test("a chat with a long limit does not wait until its caller has left", () => {
--- a/test/core/admission/retry_after_test.ts
+++ b/test/core/admission/retry_after_test.ts
@@ -1,4 +1,7 @@
-/** Times to come back: spread, and within what the caller can wait. */
+/**
+ * Retry times with jitter, limited by the caller's remaining time, and
+ * admission during shutdown.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { computeRetryAfterMs } from "../../../src/core/admission/retry_after.ts";
@@ -49,7 +52,8 @@
 });
 
 test("a stopping daemon takes no generation once the balancer must know of the stop", () => {
-  // Played on krua-hourly-th (hunt-3a4b-7): taken 3.3 s after the notice, still running 4.3 s later on a crowded engine.
+  // A generation admitted 3.3 s after the stop notice was still running 4.3 s
+  // later on a crowded engine.
   const chat = {
     isGeneration: true,
     promptTokens: 646,
--- a/test/core/admission/run_estimator_test.ts
+++ b/test/core/admission/run_estimator_test.ts
@@ -1,4 +1,7 @@
-/** Durations of runs and times between idle slots, learnt within some tens of runs. */
+/**
+ * Averages of run times and of intervals between slot releases, which converge
+ * within some tens of runs.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { RunEstimator } from "../../../src/core/admission/run_estimator.ts";
--- a/test/core/placement/adapter_demand_test.ts
+++ b/test/core/placement/adapter_demand_test.ts
@@ -1,4 +1,7 @@
-/** Demand for adapters as one host sees it: a few in wide use, thousands hardly ever. */
+/**
+ * Demand for adapters as seen by one host: a few are popular, thousands are
+ * rarely requested.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { AdapterDemand } from "../../../src/core/placement/adapter_demand.ts";
--- a/test/core/placement/adapter_slots_test.ts
+++ b/test/core/placement/adapter_slots_test.ts
@@ -1,10 +1,16 @@
-/** The estimate of a load follows what is seen, and does not forget at once that it was too short. */
+/**
+ * The estimated load time follows observed loads and remembers for a while that
+ * it was too short.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { AdapterSlots } from "../../../src/core/placement/adapter_slots.ts";
 
 const SLOTS = 5;
-/** Time of a load on the users' grown sheets; the first estimate is that of the smaller sites. */
+/**
+ * Load time at the large sites by their specifications; the initial estimate is
+ * that of the smaller sites.
+ */
 const TRUE_LOAD_MS = 288;
 
 test("where loads take longer than estimated, few are taken for done too soon", () => {
@@ -24,7 +30,7 @@
       readyAt = place.readyAt;
     }
     places.completeLoads(readyAt);
-    // Most first tokens are those of adapters that were there already.
+    // Most first tokens come from adapters that were already loaded.
     for (let token = 0; token < 5; token += 1) {
       places.recordLoadOnTime(readyAt);
     }
--- a/test/core/placement/domain_reachability_test.ts
+++ b/test/core/placement/domain_reachability_test.ts
@@ -1,4 +1,7 @@
-/** A failure domain that is cut off silently: found out by one request, over with the first heartbeat. */
+/**
+ * A failure domain behind a silent network partition is detected by one request
+ * and is reachable again with the first heartbeat.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { DomainReachability } from "../../../src/core/placement/domain_reachability.ts";
@@ -8,7 +11,7 @@
   failureDomain: id.slice(0, 1),
 }));
 const CUT_MS = 6_000;
-/** What an attempt at an upstream behind the cut costs. */
+/** Cost of an attempt at an unreachable upstream. */
 const CONNECT_TIMEOUT_MS = 400;
 
 test("of hundreds of requests during a cut a few meet it, not one for each upstream and pause", () => {
@@ -20,7 +23,7 @@
       reachability.recordUnreachable("b", failedAt);
     }
     failures = failures.filter((at) => at > now);
-    // Heartbeats fail to come for 1.6 s before a peer is taken for dead.
+    // Heartbeats have to be missing for 1.6 s before a peer counts as dead.
     const isHeard = (domain: string) => domain !== "b" || now < 1_600;
     const open = reachability.selectReachable(UPSTREAMS, isHeard, now);
     const chosen = open[(now / 10) % open.length];
@@ -28,7 +31,8 @@
     attempts += 1;
     failures.push(now + CONNECT_TIMEOUT_MS);
   }
-  // Two openings, each as long as a time-out, in which half of the requests go there.
+  // Two probe windows, each as long as a connect timeout, in which half of the
+  // requests go there.
   assert.ok(attempts <= 2 * CONNECT_TIMEOUT_MS / 10 / 2 + 2, `${attempts}`);
 });
 
--- a/test/core/placement/fetch_concurrency_limit_test.ts
+++ b/test/core/placement/fetch_concurrency_limit_test.ts
@@ -1,6 +1,7 @@
 /**
- * Hosts that each follow their own loads, against weight stores that give full
- * speed to a number of loads that nobody tells them, also where it changes.
+ * Hosts that each adapt their limit to their own fetches, against weight stores
+ * that serve an unknown number of fetches at full speed, also when that number
+ * changes.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -8,26 +9,26 @@
 import { FetchConcurrencyLimit } from "../../../src/core/placement/fetch_concurrency_limit.ts";
 
 const STEP_MS = 10;
-/** Adapters on their way to one engine, at most: the platform's bound. */
+/** Maximum number of loads in progress per engine, set by the platform. */
 const MAX_COMING = 4;
-/** Delay before a load that was not done is asked for again. */
+/** Delay before an engine is asked again for an adapter that was not loaded. */
 const RETRY_MS = 60;
-/** Period of heartbeats in a small fleet. */
+/** Heartbeat interval in a small fleet. */
 const HEARTBEAT_MS = 400;
-/** The number of loads at full speed must be found within a factor of two, either way. */
+/** The limit has to be found within a factor of two in either direction. */
 const FACTOR = 2;
 
 interface Load {
   path: string;
   engine: SimulatedEngine;
-  /** Work left, in milliseconds at full speed. */
+  /** Remaining work, in milliseconds at full speed. */
   leftMs: number;
 }
 
 interface SimulatedHost {
   window: FetchConcurrencyLimit;
   engines: SimulatedEngine[];
-  /** What it said last of its loads on the way, and of those at full speed. */
+  /** Fetches in flight and limit, as last published in a heartbeat. */
   toldFetches: number;
   toldFullSpeed: number | undefined;
 }
@@ -42,9 +43,9 @@
 }
 
 interface Outcome {
-  /** Loads done a second, after the start. */
+  /** Completed loads per second, after the start. */
   rate: number;
-  /** Mean number on the way, after the start. */
+  /** Mean number of loads in flight, after the start. */
   onTheWay: number;
 }
 
@@ -55,12 +56,15 @@
   );
 }
 
-/** Every engine always wants more adapters than it may load; hosts of small fleets tell each other what they have on the way. */
+/**
+ * Every engine always wants more adapters than it may load. Hosts of small
+ * fleets tell each other how many loads they have in flight.
+ */
 function simulate(options: {
   hosts: number;
   engines: number;
   loadMs: number;
-  /** Loads at full speed, by the time. */
+  /** Number of loads at full speed, by time. */
   getFullSpeed: (now: number) => number;
   fromMs: number;
   untilMs: number;
@@ -132,7 +136,10 @@
   return { rate: done / seconds, onTheWay: sum / steps };
 }
 
-/** Sends a request where a load is taken for done; the engine runs it or turns it away. */
+/**
+ * Sends a request when a load is expected to be done; the engine runs or
+ * rejects it.
+ */
 function followLoads(
   engine: SimulatedEngine,
   loads: readonly Load[],
@@ -154,7 +161,10 @@
   }
 }
 
-/** Sites of the users' sheets: hosts, engines, loads at full speed, time of a load. */
+/**
+ * Sites by their specifications: hosts, engines, loads at full speed and load
+ * time.
+ */
 const SITES = [
   { hosts: 4, engines: 4, fullSpeed: 4, loadMs: 250 },
   { hosts: 8, engines: 6, fullSpeed: 8, loadMs: 250 },
@@ -179,7 +189,7 @@
     });
     const bestRate = fullSpeed / (loadMs / 1_000);
     assert.ok(rate > bestRate / FACTOR, `${rate} of ${bestRate} a second`);
-    // Each holder keeps one on the way, whatever the store can do.
+    // Each owner keeps one in flight, whatever the capacity of the store.
     const most = FACTOR * Math.max(fullSpeed, Math.min(hosts, engines));
     assert.ok(onTheWay < most, `${onTheWay} on the way, expected ${most}`);
   });
@@ -197,7 +207,7 @@
     });
     const bestRate = after / 0.25;
     assert.ok(rate > bestRate / FACTOR, `${rate} of ${bestRate} a second`);
-    // Each host may have three on the way before it hears of the others'.
+    // Each host may have three in flight before it hears of the others'.
     const most = Math.max(FACTOR * after, 3 * 8);
     assert.ok(onTheWay < most, `${onTheWay} on the way, expected ${most}`);
   });
--- a/test/core/placement/upstream_backoff_test.ts
+++ b/test/core/placement/upstream_backoff_test.ts
@@ -1,4 +1,4 @@
-/** Times for which upstreams want no request of this host, one row a case. */
+/** Backoff times of upstreams towards this host, one row per case. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { UpstreamBackoff } from "../../../src/core/placement/upstream_backoff.ts";
--- a/test/core/placement/upstream_health_test.ts
+++ b/test/core/placement/upstream_health_test.ts
@@ -1,4 +1,7 @@
-/** Replicas that fail a part of their requests while their health check is good: each host's failures count for all. */
+/**
+ * Upstreams that fail some of their requests while their health check passes:
+ * the failures that each host sees count for all.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { hashText } from "../../../src/core/hashing.ts";
@@ -6,15 +9,17 @@
 
 const HOSTS = 8;
 const UPSTREAMS = 12;
-/** Upstreams with a lower index fail two requests in five. */
+/** Upstreams with a lower index fail two out of five requests. */
 const ILL = 3;
 
-/** Draws a number from 0 to 1 for a request. */
+/** Returns a pseudorandom number from 0 to 1 for a request. */
 function drawShare(request: number): number {
   return hashText(`request ${request}`) / 0x1_0000_0000;
 }
 
-/** Plays some seconds of requests at eight hosts; returns how many failed. */
+/**
+ * Simulates some seconds of requests at eight hosts; returns how many failed.
+ */
 function countFailures(isTold: boolean): number {
   const hosts = Array.from({ length: HOSTS }, () => new UpstreamHealth());
   let failures = 0;
--- a/test/core/placement/upstream_ranking_test.ts
+++ b/test/core/placement/upstream_ranking_test.ts
@@ -1,4 +1,6 @@
-/** Which upstream a request goes to: homes of adapters, loads of services, ill ones last. */
+/**
+ * Order of upstreams: adapter replicas, load of services, unhealthy ones last.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
@@ -24,7 +26,7 @@
 
 const UPSTREAMS = ["1", "2", "3", "4", "5"].map((id) => createUpstream(id));
 
-/** An adapter that is hardly asked for. */
+/** An adapter with hardly any requests. */
 const IDLE = {
   failureDomain: "a",
   concurrentRuns: 0,
