--- a/src/core/admission/admission_controller.ts
+++ b/src/core/admission/admission_controller.ts
@@ -139,9 +139,9 @@
   #evictionAllowedAt = Number.NEGATIVE_INFINITY;
   readonly #runEstimator = new RunEstimator();
 
-  constructor(places: AdapterSlots, room: BatchCapacity) {
-    this.slots = places;
-    this.batch = room;
+  constructor(slots: AdapterSlots, batch: BatchCapacity) {
+    this.slots = slots;
+    this.batch = batch;
   }
 
   countWaiting(): number {
@@ -207,8 +207,8 @@
       hasFirstToken: true,
     });
     this.batch.admitPrefilled(permitId, permit, now);
-    const place = this.slots.getSlot(adapterPath);
-    if (place) this.slots.recordUse(place, permitId, now);
+    const slot = this.slots.getSlot(adapterPath);
+    if (slot) this.slots.recordUse(slot, permitId, now);
   }
 
   /**
@@ -224,18 +224,18 @@
     if (permit.hasFirstToken && permit.grantedAt !== undefined) {
       this.#runEstimator.recordRun(now - permit.grantedAt);
     }
-    const place = this.slots.getSlot(permit.adapterPath);
-    place?.permitIds.delete(permitId);
-    if (place) place.lastUsedAt = Math.max(place.lastUsedAt, now);
-    if (place?.permitIds.size === 0) this.#runEstimator.recordSlotReleased(now);
+    const slot = this.slots.getSlot(permit.adapterPath);
+    slot?.permitIds.delete(permitId);
+    if (slot) slot.lastUsedAt = Math.max(slot.lastUsedAt, now);
+    if (slot?.permitIds.size === 0) this.#runEstimator.recordSlotReleased(now);
     this.grantWaiting(now);
   }
 
   recordFirstToken(permitId: string, now: Milliseconds): void {
     this.slots.recordLoadOnTime(now);
     const permit = this.#permits.get(permitId);
-    const place = permit && this.slots.getSlot(permit.adapterPath);
-    if (place) this.slots.recordLoadConfirmed(place);
+    const slot = permit && this.slots.getSlot(permit.adapterPath);
+    if (slot) this.slots.recordLoadConfirmed(slot);
     if (permit) permit.hasFirstToken = true;
     this.batch.recordFirstToken(permitId, now);
     this.grantWaiting(now);
@@ -251,11 +251,11 @@
     now: Milliseconds,
   ): boolean {
     const permit = this.#permits.get(permitId);
-    const place = permit && this.slots.getSlot(permit.adapterPath);
-    const isLoadLate = place !== undefined &&
-      now - place.readyAt < MAX_LOAD_LATENESS_MS;
-    if (isLoadLate && place.state === "resident") {
-      this.slots.recordLoadLate(place, delayMs, now);
+    const slot = permit && this.slots.getSlot(permit.adapterPath);
+    const isLoadLate = slot !== undefined &&
+      now - slot.readyAt < MAX_LOAD_LATENESS_MS;
+    if (isLoadLate && slot.state === "resident") {
+      this.slots.recordLoadLate(slot, delayMs, now);
     }
     this.releasePermit(permitId, now);
     return isLoadLate;
@@ -300,8 +300,8 @@
    */
   getNextTickAt(): Milliseconds {
     let dueAt = Number.POSITIVE_INFINITY;
-    for (const place of this.slots.listSlots()) {
-      if (place.state === "loading") dueAt = Math.min(dueAt, place.readyAt);
+    for (const slot of this.slots.listSlots()) {
+      if (slot.state === "loading") dueAt = Math.min(dueAt, slot.readyAt);
     }
     for (const { overdueAt } of this.#waitingRequests.values()) {
       dueAt = Math.min(dueAt, overdueAt);
@@ -316,9 +316,9 @@
   grantWaiting(now: Milliseconds): void {
     for (const { request } of this.#listWaiting(now)) {
       if (!this.#isAdapterReady(request)) continue;
-      const isFree = this.batch.hasCapacityFor(request) &&
+      const hasCapacity = this.batch.hasCapacityFor(request) &&
         this.batch.estimatePrefillBacklogMs(now) <= MAX_PREFILL_BACKLOG_MS;
-      if (isFree) this.#grant(request, now);
+      if (hasCapacity) this.#grant(request, now);
     }
   }
 
@@ -333,8 +333,8 @@
     for (const { request } of this.#listWaiting(now)) {
       const { adapterPath, model, adapter, version } = request;
       if (adapter === "" || this.#isAdapterReady(request)) continue;
-      const place = this.slots.getSlot(adapterPath);
-      if (place && place.state !== "resident") continue;
+      const slot = this.slots.getSlot(adapterPath);
+      if (slot && slot.state !== "resident") continue;
       if (!canFetch && this.slots.needsFetch(adapterPath)) continue;
       const load: EngineOrder = {
         kind: "load",
@@ -343,9 +343,9 @@
         adapterPath,
         version,
       };
-      if (place || this.slots.hasFreeSlot()) return load;
-      const evictable = this.#findEvictionVictim(now);
-      if (evictable) return buildEvictionOrder(evictable.adapterPath);
+      if (slot || this.slots.hasFreeSlot()) return load;
+      const victim = this.#findEvictionVictim(now);
+      if (victim) return buildEvictionOrder(victim.adapterPath);
     }
     return undefined;
   }
@@ -398,11 +398,11 @@
     now: Milliseconds,
   ): boolean {
     const { adapterPath, adapter } = request;
-    const place = this.slots.getSlot(adapterPath);
+    const slot = this.slots.getSlot(adapterPath);
     const loadMs = adapter === ""
       ? 0
-      : place
-      ? Math.max(0, place.readyAt - now)
+      : slot
+      ? Math.max(0, slot.readyAt - now)
       : this.slots.estimateLoadMs(adapterPath);
     const firstTokenAt = now + loadMs + this.batch.estimatePrefillMs(request);
     return firstTokenAt <= arrivedAt + request.firstTokenBudgetMs;
@@ -410,8 +410,8 @@
 
   #isAdapterReady(request: PermitRequest): boolean {
     if (request.adapter === "") return true;
-    const place = this.slots.getSlot(request.adapterPath);
-    return place?.state === "resident" && hasVersion(place, request.version);
+    const slot = this.slots.getSlot(request.adapterPath);
+    return slot?.state === "resident" && hasVersion(slot, request.version);
   }
 
   /**
@@ -423,18 +423,19 @@
     request: PermitRequest,
     now: Milliseconds,
   ): DenialReason | undefined {
-    const { localMs, loadMs, storeQueueMs: storeMs } = this.#estimateWaits(
+    const { localMs, loadMs, storeQueueMs } = this.#estimateWaits(
       request,
       now,
     );
     if (request.isLastChoice) {
-      const placeMs = Math.max(localMs, loadMs + storeMs);
-      return placeMs > request.patienceMs ? DenialReason.Busy : undefined;
+      const permitWaitMs = Math.max(localMs, loadMs + storeQueueMs);
+      return permitWaitMs > request.patienceMs ? DenialReason.Busy : undefined;
     }
     const { firstTokenBudgetMs } = request;
-    const hereMs = Math.max(localMs, loadMs) +
+    const firstTokenMs = Math.max(localMs, loadMs) +
       this.batch.estimatePrefillMs(request);
-    const isLate = hereMs > SPILLOVER_TOTAL_FRACTION * firstTokenBudgetMs &&
+    const isLate =
+      firstTokenMs > SPILLOVER_TOTAL_FRACTION * firstTokenBudgetMs &&
       localMs > SPILLOVER_LOCAL_FRACTION * firstTokenBudgetMs;
     if (!isLate) return undefined;
     return this.#isBlockedOnSlot(request, now)
@@ -455,39 +456,39 @@
     request: PermitRequest,
     now: Milliseconds,
   ): Milliseconds {
-    const { localMs, loadMs, storeQueueMs: storeMs } = this.#estimateWaits(
+    const { localMs, loadMs, storeQueueMs } = this.#estimateWaits(
       request,
       now,
     );
-    return Math.max(localMs, loadMs + storeMs) +
+    return Math.max(localMs, loadMs + storeQueueMs) +
       this.batch.estimatePrefillMs(request);
   }
 
   #estimateWaits(request: PermitRequest, now: Milliseconds): WaitEstimate {
-    const readMs = this.batch.estimatePrefillBacklogMs(now) +
+    const prefillMs = this.batch.estimatePrefillBacklogMs(now) +
       this.#estimateQueuedPrefillMs(request);
-    const fullMs = this.batch.hasCapacityFor(request)
+    const batchSlotMs = this.batch.hasCapacityFor(request)
       ? 0
       : this.#runEstimator.meanRunMs / Math.max(1, this.batch.countRunning());
-    const busyMs = Math.max(readMs, fullMs);
+    const capacityMs = Math.max(prefillMs, batchSlotMs);
     if (!this.#needsLoad(request)) {
-      const place = this.slots.getSlot(request.adapterPath);
-      const loadMs = place?.state === "loading"
-        ? Math.max(0, place.readyAt - now)
+      const slot = this.slots.getSlot(request.adapterPath);
+      const loadMs = slot?.state === "loading"
+        ? Math.max(0, slot.readyAt - now)
         : 0;
-      return { localMs: busyMs, loadMs, storeQueueMs: 0 };
+      return { localMs: capacityMs, loadMs, storeQueueMs: 0 };
     }
     const { adapterPath } = request;
-    const before = this.#countLoadsAhead(request);
+    const loadsAhead = this.#countLoadsAhead(request);
     const slotMs = this.#isBlockedOnSlot(request, now)
-      ? this.#runEstimator.slotReleaseIntervalMs * (1 + before)
+      ? this.#runEstimator.slotReleaseIntervalMs * (1 + loadsAhead)
       : 0;
     const waitMs = Math.max(
       slotMs,
-      this.slots.estimateEngineQueueMs(adapterPath, before),
+      this.slots.estimateEngineQueueMs(adapterPath, loadsAhead),
     );
     return {
-      localMs: Math.max(busyMs, waitMs),
+      localMs: Math.max(capacityMs, waitMs),
       loadMs: waitMs + this.slots.estimateLoadMs(adapterPath),
       storeQueueMs: this.slots.estimateStoreQueueMs(adapterPath),
     };
@@ -505,19 +506,19 @@
 
   /** Counts the other adapters that wait for a load here. */
   #countLoadsAhead(request: PermitRequest): number {
-    const absent = new Set<string>();
+    const paths = new Set<string>();
     for (const { request: other } of this.#waitingRequests.values()) {
       const isOther = other.adapterPath !== request.adapterPath;
-      if (isOther && this.#needsLoad(other)) absent.add(other.adapterPath);
+      if (isOther && this.#needsLoad(other)) paths.add(other.adapterPath);
     }
-    return absent.size;
+    return paths.size;
   }
 
   #estimateQueuedPrefillMs(request: PermitRequest): Milliseconds {
     let sum = 0;
     for (const waiting of this.#waitingRequests.values()) {
-      const isBefore = waiting.request.priorityRank <= request.priorityRank;
-      if (isBefore) sum += this.batch.estimatePrefillMs(waiting.request);
+      const isAhead = waiting.request.priorityRank <= request.priorityRank;
+      if (isAhead) sum += this.batch.estimatePrefillMs(waiting.request);
     }
     return sum;
   }
@@ -532,8 +533,8 @@
       hasFirstToken: false,
     });
     this.batch.admit(permitId, request, now);
-    const place = this.slots.getSlot(adapterPath);
-    if (place) this.slots.recordUse(place, permitId, now);
+    const slot = this.slots.getSlot(adapterPath);
+    if (slot) this.slots.recordUse(slot, permitId, now);
     this.#answerGrant(request);
   }
 
@@ -572,9 +573,9 @@
  * An adapter of unknown version satisfies any requirement; the engine itself
  * checks a declared version.
  */
-function hasVersion(place: AdapterSlot, version: number | undefined): boolean {
-  return version === undefined || place.version === undefined ||
-    place.version >= version;
+function hasVersion(slot: AdapterSlot, version: number | undefined): boolean {
+  return version === undefined || slot.version === undefined ||
+    slot.version >= version;
 }
 
 /** Returns the order to evict an adapter, given as `model/adapter`. */
--- a/src/core/admission/batch_capacity.ts
+++ b/src/core/admission/batch_capacity.ts
@@ -105,11 +105,11 @@
   }
 
   admit(permitId: string, demand: BatchDemand, now: Milliseconds): void {
-    const unreadTokens = this.#countUncachedTokens(demand);
+    const prefillTokens = this.#countUncachedTokens(demand);
     this.#running.set(permitId, {
       tokens: demand.promptTokens + demand.outputTokens,
-      prefillTokens: unreadTokens,
-      tokensToFirstToken: this.#sumPrefillTokens(now) + unreadTokens,
+      prefillTokens,
+      tokensToFirstToken: this.#sumPrefillTokens(now) + prefillTokens,
       admittedAt: now,
     });
     for (const part of demand.promptParts) this.#recordPart(demand, part.id);
@@ -135,7 +135,7 @@
     if (
       request.tokensToFirstToken < MIN_PREFILL_SAMPLE_TOKENS || elapsedMs <= 0
     ) return;
-    const speed = Math.min(
+    const sampledRate = Math.min(
       MAX_PREFILL_RATE_FACTOR * DEFAULT_PREFILL_TOKENS_PER_MS,
       Math.max(
         MIN_PREFILL_RATE_FACTOR * DEFAULT_PREFILL_TOKENS_PER_MS,
@@ -143,16 +143,16 @@
       ),
     );
     this.#prefillTokensPerMs += PREFILL_RATE_WEIGHT *
-      (speed - this.#prefillTokensPerMs);
+      (sampledRate - this.#prefillTokensPerMs);
   }
 
   #sumPrefillTokens(now: Milliseconds): number {
-    let unread = 0;
+    let sum = 0;
     for (const request of this.#running.values()) {
-      const isTakenForRead = now - request.admittedAt > PREFILL_TIMEOUT_MS;
-      if (!isTakenForRead) unread += request.prefillTokens;
+      const isTimedOut = now - request.admittedAt > PREFILL_TIMEOUT_MS;
+      if (!isTimedOut) sum += request.prefillTokens;
     }
-    return unread;
+    return sum;
   }
 
   release(permitId: string): boolean {
@@ -172,12 +172,12 @@
 
   /** A part is cached only if all parts before it are. */
   #countUncachedTokens(demand: BatchDemand): number {
-    let unread = demand.promptTokens;
+    let uncached = demand.promptTokens;
     for (const part of demand.promptParts) {
       if (!this.#cachedParts.has(`${demand.adapterPath}|${part.id}`)) break;
-      unread -= part.tokens;
+      uncached -= part.tokens;
     }
-    return Math.max(0, unread);
+    return Math.max(0, uncached);
   }
 
   #recordPart(demand: BatchDemand, partId: string): void {
--- a/src/core/admission/permit_release_retry_queue.ts
+++ b/src/core/admission/permit_release_retry_queue.ts
@@ -27,27 +27,30 @@
 
   /** Queues a release that was not delivered, unless its permit has expired. */
   recordSend(
-    due: UndeliveredRelease<Message>,
+    release: UndeliveredRelease<Message>,
     isDelivered: boolean,
     now: Milliseconds,
   ): void {
     if (
-      isDelivered || due.expiresAt <= now || this.#queue.length >= MAX_QUEUED
+      isDelivered || release.expiresAt <= now ||
+      this.#queue.length >= MAX_QUEUED
     ) {
       return;
     }
-    this.#queue.push({ release: due, retryAt: now + RETRY_INTERVAL_MS });
+    this.#queue.push({ release, retryAt: now + RETRY_INTERVAL_MS });
   }
 
   /** Removes and returns the releases that are due to be sent again. */
   takeDue(
-    isAlive: (holderId: string) => boolean,
+    isAlive: (ownerId: string) => boolean,
     now: Milliseconds,
   ): UndeliveredRelease<Message>[] {
-    const worth = this.#queue.filter(({ release: due }) => due.expiresAt > now);
-    const isDue = ({ release: due, retryAt }: (typeof worth)[number]) =>
-      retryAt <= now && isAlive(due.ownerId);
-    this.#queue = worth.filter((each) => !isDue(each));
-    return worth.filter(isDue).map(({ release: due }) => due);
+    const unexpired = this.#queue.filter(({ release }) =>
+      release.expiresAt > now
+    );
+    const isDue = ({ release, retryAt }: (typeof unexpired)[number]) =>
+      retryAt <= now && isAlive(release.ownerId);
+    this.#queue = unexpired.filter((entry) => !isDue(entry));
+    return unexpired.filter(isDue).map(({ release }) => release);
   }
 }
--- a/src/core/admission/retry_after.ts
+++ b/src/core/admission/retry_after.ts
@@ -22,10 +22,11 @@
     remainingMs: Milliseconds;
   },
 ): Milliseconds {
-  const { requestId, expectedWaitMs: expectedMs, remainingMs } = refusal;
+  const { requestId, expectedWaitMs, remainingMs } = refusal;
   const jitterFactor = 1 +
     JITTER_FRACTION * (hashText(requestId) / 0x1_0000_0000);
-  const jitteredMs = Math.max(MIN_RETRY_AFTER_MS, expectedMs) * jitterFactor;
+  const jitteredMs = Math.max(MIN_RETRY_AFTER_MS, expectedWaitMs) *
+    jitterFactor;
   return Math.min(
     jitteredMs,
     Math.max(0, remainingMs) * MAX_REMAINING_FRACTION,
--- a/src/core/placement/adapter_demand.ts
+++ b/src/core/placement/adapter_demand.ts
@@ -50,14 +50,14 @@
   readonly #demands = new Map<string, Demand>();
 
   recordRequest(sample: DemandSample, now: Milliseconds): void {
-    const { adapterPath, unsharedPromptTokens: ownTokens } = sample;
-    const before = this.#demands.get(adapterPath);
-    const kept = before ? computeDemandDecay(before, now) : 0;
+    const { adapterPath, unsharedPromptTokens } = sample;
+    const previous = this.#demands.get(adapterPath);
+    const decay = previous ? computeDemandDecay(previous, now) : 0;
     // Reinserts the adapter at the end, so that the first key is the oldest.
     this.#demands.delete(adapterPath);
     this.#demands.set(adapterPath, {
-      requests: (before?.requests ?? 0) * kept + 1,
-      tokens: (before?.tokens ?? 0) * kept + ownTokens,
+      requests: (previous?.requests ?? 0) * decay + 1,
+      tokens: (previous?.tokens ?? 0) * decay + unsharedPromptTokens,
       updatedAt: now,
     });
     if (this.#demands.size > MAX_TRACKED_ADAPTERS) this.#trimDemands(now);
@@ -65,13 +65,13 @@
 
   getRate(adapterPath: string, now: Milliseconds): AdapterDemandRate {
     const demand = this.#demands.get(adapterPath);
-    const kept = demand ? computeDemandDecay(demand, now) : 0;
-    if (!demand || demand.requests * kept < MIN_SIGNIFICANT_REQUESTS) {
+    const decay = demand ? computeDemandDecay(demand, now) : 0;
+    if (!demand || demand.requests * decay < MIN_SIGNIFICANT_REQUESTS) {
       return { requestsPerMs: 0, tokensPerMs: 0 };
     }
     return {
-      requestsPerMs: demand.requests * kept / TIME_CONSTANT_MS,
-      tokensPerMs: demand.tokens * kept / TIME_CONSTANT_MS,
+      requestsPerMs: demand.requests * decay / TIME_CONSTANT_MS,
+      tokensPerMs: demand.tokens * decay / TIME_CONSTANT_MS,
     };
   }
 
--- a/src/core/placement/adapter_slots.ts
+++ b/src/core/placement/adapter_slots.ts
@@ -27,7 +27,10 @@
    * flight then. Undefined for other loads.
    */
   fetch:
-    | Pick<FetchObservation, "orderedAt" | "crowd" | "isLast" | "isOnlyOwn">
+    | Pick<
+      FetchObservation,
+      "orderedAt" | "concurrentFetches" | "isAtHostShare" | "isAtMinConcurrency"
+    >
     | undefined;
   /** When its load is expected to be complete. */
   readyAt: Milliseconds;
@@ -143,7 +146,7 @@
   }
 
   countLoading(): number {
-    return this.listSlots().filter((place) => place.state === "loading")
+    return this.listSlots().filter((slot) => slot.state === "loading")
       .length;
   }
 
@@ -161,10 +164,10 @@
   /** Returns how long a load takes that starts now. */
   estimateLoadMs(adapterPath: string): Milliseconds {
     if (!this.needsFetch(adapterPath)) return RELOAD_MS;
-    const crowding = this.#countConcurrentFetches() / this.#share.fetchLimit;
+    const contention = this.#countConcurrentFetches() / this.#share.fetchLimit;
     // Contention also shows up as slowdown, so only the greater of the two
     // counts.
-    const factor = Math.max(this.#slowdown, crowding);
+    const factor = Math.max(this.#slowdown, contention);
     return INITIAL_FETCH_MS * Math.min(MAX_SLOWDOWN, factor);
   }
 
@@ -172,9 +175,9 @@
    * Returns how long a load queues behind the given number of loads at this
    * engine.
    */
-  estimateEngineQueueMs(adapterPath: string, before: number): Milliseconds {
+  estimateEngineQueueMs(adapterPath: string, loadsAhead: number): Milliseconds {
     if (!this.needsFetch(adapterPath)) return 0;
-    return INITIAL_FETCH_MS * this.#slowdown * before /
+    return INITIAL_FETCH_MS * this.#slowdown * loadsAhead /
       this.#share.fetchesPerEngine;
   }
 
@@ -183,9 +186,10 @@
    */
   estimateStoreQueueMs(adapterPath: string): Milliseconds {
     if (!this.needsFetch(adapterPath)) return 0;
-    const { fleetFetches, fetchLimit: fullSpeedFetches } = this.#share;
-    const crowd = fleetFetches / fullSpeedFetches - UNQUEUED_FRACTION;
-    return INITIAL_FETCH_MS * Math.max(0, crowd);
+    const { fleetFetches, fetchLimit } = this.#share;
+    const excess = fleetFetches / fetchLimit -
+      UNQUEUED_FRACTION;
+    return INITIAL_FETCH_MS * Math.max(0, excess);
   }
 
   /**
@@ -194,9 +198,9 @@
    * without counting it, and load it all the same.
    */
   listIdle(now: Milliseconds): AdapterSlot[] {
-    return this.listSlots().filter((place) =>
-      place.state === "resident" && place.permitIds.size === 0 &&
-      (place.isConfirmed || now - place.readyAt >= MAX_LOAD_LATENESS_MS)
+    return this.listSlots().filter((slot) =>
+      slot.state === "resident" && slot.permitIds.size === 0 &&
+      (slot.isConfirmed || now - slot.readyAt >= MAX_LOAD_LATENESS_MS)
     );
   }
 
@@ -205,10 +209,10 @@
    */
   findEvictionVictim(now: Milliseconds): AdapterSlot | undefined {
     let best: AdapterSlot | undefined;
-    for (const place of this.listIdle(now)) {
+    for (const slot of this.listIdle(now)) {
       const isBetter = best === undefined ||
-        getRetentionScore(place, now) < getRetentionScore(best, now);
-      if (isBetter) best = place;
+        getRetentionScore(slot, now) < getRetentionScore(best, now);
+      if (isBetter) best = slot;
     }
     return best;
   }
@@ -218,21 +222,21 @@
     version: number | undefined,
     now: Milliseconds,
   ): void {
-    const place = this.#slots.get(adapterPath) ??
+    const slot = this.#slots.get(adapterPath) ??
       this.#createSlot(adapterPath, now);
-    place.version = version;
-    place.state = "loading";
-    place.isConfirmed = false;
-    place.fetch = this.needsFetch(adapterPath)
+    slot.version = version;
+    slot.state = "loading";
+    slot.isConfirmed = false;
+    slot.fetch = this.needsFetch(adapterPath)
       ? {
         orderedAt: now,
-        crowd: this.#countConcurrentFetches(),
-        isLast: this.#share.isAtHostShare,
-        isOnlyOwn: this.#share.isAtMinConcurrency,
+        concurrentFetches: this.#countConcurrentFetches(),
+        isAtHostShare: this.#share.isAtHostShare,
+        isAtMinConcurrency: this.#share.isAtMinConcurrency,
       }
       : undefined;
-    place.readyAt = now + this.estimateLoadMs(adapterPath);
-    this.#slots.set(adapterPath, place);
+    slot.readyAt = now + this.estimateLoadMs(adapterPath);
+    this.#slots.set(adapterPath, slot);
     this.#hostCached.delete(adapterPath);
   }
 
@@ -251,60 +255,60 @@
    * Records an eviction that waits for runs that this daemon doesn't know of.
    */
   recordDraining(adapterPath: string): void {
-    const place = this.#slots.get(adapterPath);
-    if (place) place.state = "draining";
+    const slot = this.#slots.get(adapterPath);
+    if (slot) slot.state = "draining";
   }
 
   hasDraining(): boolean {
-    return this.listSlots().some((place) => place.state === "draining");
+    return this.listSlots().some((slot) => slot.state === "draining");
   }
 
-  recordUse(place: AdapterSlot, permitId: string, now: Milliseconds): void {
-    place.decayedUses = computeDecayedUses(place, now) + 1;
-    place.lastUsedAt = now;
-    place.permitIds.add(permitId);
+  recordUse(slot: AdapterSlot, permitId: string, now: Milliseconds): void {
+    slot.decayedUses = computeDecayedUses(slot, now) + 1;
+    slot.lastUsedAt = now;
+    slot.permitIds.add(permitId);
   }
 
   /** Marks loads as done whose expected end has passed, and returns them. */
   completeLoads(now: Milliseconds): AdapterSlot[] {
-    const isPast = now - this.#lastLateAt > SLOWDOWN_LIFETIME_MS;
-    if (isPast && this.#slowdown > MIN_RECENT_SLOWDOWN) this.#slowdown = 1;
-    const done = this.listSlots().filter((place) =>
-      place.state === "loading" && place.readyAt <= now
+    const isExpired = now - this.#lastLateAt > SLOWDOWN_LIFETIME_MS;
+    if (isExpired && this.#slowdown > MIN_RECENT_SLOWDOWN) this.#slowdown = 1;
+    const completed = this.listSlots().filter((slot) =>
+      slot.state === "loading" && slot.readyAt <= now
     );
-    for (const place of done) place.state = "resident";
-    return done;
+    for (const slot of completed) slot.state = "resident";
+    return completed;
   }
 
   /** Records that a load took no longer than estimated. */
   recordLoadOnTime(now: Milliseconds): void {
-    const isRemembered = now - this.#lastLateAt < LATE_LOAD_MEMORY_MS;
-    const floor = isRemembered ? MIN_RECENT_SLOWDOWN : 1;
-    this.#slowdown = Math.max(floor, this.#slowdown * SLOWDOWN_DECAY);
+    const isRecent = now - this.#lastLateAt < LATE_LOAD_MEMORY_MS;
+    const minSlowdown = isRecent ? MIN_RECENT_SLOWDOWN : 1;
+    this.#slowdown = Math.max(minSlowdown, this.#slowdown * SLOWDOWN_DECAY);
   }
 
   /**
    * Records that a request was served with the adapter, so that its load was
    * done when the request was sent.
    */
-  recordLoadConfirmed(place: AdapterSlot): void {
-    place.isConfirmed = true;
-    this.#recordFetchObservation(place, place.readyAt, true);
+  recordLoadConfirmed(slot: AdapterSlot): void {
+    slot.isConfirmed = true;
+    this.#recordFetchObservation(slot, slot.readyAt, true);
   }
 
   /** Records that the engine had not loaded the adapter yet. */
   recordLoadLate(
-    place: AdapterSlot,
+    slot: AdapterSlot,
     delayMs: Milliseconds,
     now: Milliseconds,
   ): void {
-    const { fetch } = place;
-    const seen = fetch ? (now - fetch.orderedAt) / INITIAL_FETCH_MS : 1;
-    const slowness = Math.max(seen, this.#slowdown) * SLOWDOWN_GROWTH;
-    this.#slowdown = Math.min(MAX_SLOWDOWN, slowness);
+    const { fetch } = slot;
+    const observed = fetch ? (now - fetch.orderedAt) / INITIAL_FETCH_MS : 1;
+    const slowdown = Math.max(observed, this.#slowdown) * SLOWDOWN_GROWTH;
+    this.#slowdown = Math.min(MAX_SLOWDOWN, slowdown);
     this.#lastLateAt = now;
-    this.#recordFetchObservation(place, now, false);
-    this.#delayLoad(place, delayMs, now);
+    this.#recordFetchObservation(slot, now, false);
+    this.#delayLoad(slot, delayMs, now);
   }
 
   /**
@@ -316,24 +320,24 @@
   }
 
   #recordFetchObservation(
-    place: AdapterSlot,
-    until: Milliseconds,
+    slot: AdapterSlot,
+    endedAt: Milliseconds,
     isDone: boolean,
   ): void {
-    const { fetch } = place;
+    const { fetch } = slot;
     if (!fetch) return;
-    const durationMs = until - fetch.orderedAt;
+    const durationMs = endedAt - fetch.orderedAt;
     this.#observations.push({ ...fetch, durationMs, isDone });
-    if (isDone) place.fetch = undefined;
+    if (isDone) slot.fetch = undefined;
   }
 
   #delayLoad(
-    place: AdapterSlot,
+    slot: AdapterSlot,
     delayMs: Milliseconds,
     now: Milliseconds,
   ): void {
-    place.state = "loading";
-    place.readyAt = now + delayMs;
+    slot.state = "loading";
+    slot.readyAt = now + delayMs;
   }
 
   /**
@@ -349,18 +353,18 @@
     }
     for (const [adapterPath, { version, isLoading }] of adapters) {
       const known = this.#slots.get(adapterPath);
-      const place = known ?? this.#createSlot(adapterPath, now);
-      place.version = version;
+      const slot = known ?? this.#createSlot(adapterPath, now);
+      slot.version = version;
       // An evicted adapter that is still reported is draining and can't be
       // evicted again.
       const isDraining = this.#hostCached.has(adapterPath);
-      place.isConfirmed = !isLoading && !isDraining;
-      const isNewlyLoading = isLoading && place.state !== "loading";
-      if (isNewlyLoading) this.#delayLoad(place, INITIAL_FETCH_MS, now);
-      if (!isLoading && place.state === "loading") {
-        place.readyAt = Math.min(place.readyAt, now);
+      slot.isConfirmed = !isLoading && !isDraining;
+      const isNewlyLoading = isLoading && slot.state !== "loading";
+      if (isNewlyLoading) this.#delayLoad(slot, INITIAL_FETCH_MS, now);
+      if (!isLoading && slot.state === "loading") {
+        slot.readyAt = Math.min(slot.readyAt, now);
       }
-      this.#slots.set(adapterPath, place);
+      this.#slots.set(adapterPath, slot);
     }
   }
 
@@ -368,8 +372,8 @@
    * Returns whether a load is so late that the engine should be asked about it.
    */
   hasOverdueLoad(now: Milliseconds): boolean {
-    return this.listSlots().some((place) =>
-      place.state === "loading" && now - place.readyAt > LOAD_TIMEOUT_MS
+    return this.listSlots().some((slot) =>
+      slot.state === "loading" && now - slot.readyAt > LOAD_TIMEOUT_MS
     );
   }
 
@@ -393,12 +397,12 @@
   }
 }
 
-function computeDecayedUses(place: AdapterSlot, now: Milliseconds): number {
-  return place.decayedUses *
-    computeDecay(now - place.lastUsedAt, USE_HALF_LIFE_MS);
+function computeDecayedUses(slot: AdapterSlot, now: Milliseconds): number {
+  return slot.decayedUses *
+    computeDecay(now - slot.lastUsedAt, USE_HALF_LIFE_MS);
 }
 
 /** Ranks by frequency of use, then by recency. */
-function getRetentionScore(place: AdapterSlot, now: Milliseconds): number {
-  return computeDecayedUses(place, now);
+function getRetentionScore(slot: AdapterSlot, now: Milliseconds): number {
+  return computeDecayedUses(slot, now);
 }
--- a/src/core/placement/domain_reachability.ts
+++ b/src/core/placement/domain_reachability.ts
@@ -43,17 +43,17 @@
   /** Returns the reachable upstreams, or all of them if none is reachable. */
   selectReachable<T extends { failureDomain: string }>(
     upstreams: readonly T[],
-    isHeard: (failureDomain: string) => boolean,
+    hasAlivePeer: (failureDomain: string) => boolean,
     now: Milliseconds,
   ): readonly T[] {
-    const cutOff = new Set(
+    const unreachable = new Set(
       [...this.#failedAt.keys()].filter((failureDomain) =>
-        this.isUnreachable(failureDomain, isHeard(failureDomain), now)
+        this.isUnreachable(failureDomain, hasAlivePeer(failureDomain), now)
       ),
     );
-    if (cutOff.size === 0) return upstreams;
+    if (unreachable.size === 0) return upstreams;
     const reachable = upstreams.filter((each) =>
-      !cutOff.has(each.failureDomain)
+      !unreachable.has(each.failureDomain)
     );
     return reachable.length > 0 ? reachable : upstreams;
   }
--- a/src/core/placement/fetch_concurrency_limit.ts
+++ b/src/core/placement/fetch_concurrency_limit.ts
@@ -17,7 +17,7 @@
    * Fetches in flight at the same time, as far as was known, including this
    * one.
    */
-  crowd: number;
+  concurrentFetches: number;
   /** Time that it took, or has taken so far. */
   durationMs: Milliseconds;
   /**
@@ -27,12 +27,12 @@
   /**
    * Whether the host had its share of the limit in flight, including this one.
    */
-  isLast: boolean;
+  isAtHostShare: boolean;
   /**
    * Whether its host had no other fetch in flight, and the other hosts at most
    * one each.
    */
-  isOnlyOwn: boolean;
+  isAtMinConcurrency: boolean;
 }
 
 /** Fetches in flight, as known to one host. */
@@ -145,7 +145,7 @@
   #initialLimit = MIN_INITIAL_LIMIT;
   #hasLocalSamples = false;
   /** Whether any fetch was late. */
-  #hasSeenLateLoad = false;
+  #hasSeenLateFetch = false;
   /** Fetches on time since the last late one. */
   #onTimeStreak = 0;
   #decreasedAt = Number.NEGATIVE_INFINITY;
@@ -173,20 +173,20 @@
    * Moves the limit towards the mean of the peers' limits, since each host
    * observes few fetches.
    */
-  recordPeerLimits(findings: readonly number[]): void {
-    if (findings.length === 0) return;
-    const mean = findings.reduce((sum, each) => sum + each, 0) /
-      findings.length;
+  recordPeerLimits(limits: readonly number[]): void {
+    if (limits.length === 0) return;
+    const mean = limits.reduce((sum, each) => sum + each, 0) /
+      limits.length;
     this.#limit += PEER_AVERAGING_WEIGHT * (mean - this.#limit);
   }
 
   /** Sets the number of engines, which determines the initial limit. */
-  setEngineCount(engines: number): void {
-    this.#engineCount = Math.max(1, engines);
+  setEngineCount(engineCount: number): void {
+    this.#engineCount = Math.max(1, engineCount);
     if (this.#hasLocalSamples) return;
     this.#initialLimit = Math.max(
       MIN_INITIAL_LIMIT,
-      INITIAL_LIMIT_PER_ENGINE * engines,
+      INITIAL_LIMIT_PER_ENGINE * engineCount,
     );
     this.#limit = this.#initialLimit;
   }
@@ -225,22 +225,23 @@
   }
 
   recordFetch(fetch: FetchObservation, now: Milliseconds): void {
-    const crowding = Math.max(1, fetch.crowd / this.#limit);
-    const alikeMs = fetch.durationMs / crowding;
+    const contention = Math.max(1, fetch.concurrentFetches / this.#limit);
+    const normalizedMs = fetch.durationMs / contention;
     // With at most one fetch per host in flight, none can be faster.
-    const isAtFullSpeed = fetch.isOnlyOwn || fetch.crowd <= this.#limit;
+    const isAtFullSpeed = fetch.isAtMinConcurrency ||
+      fetch.concurrentFetches <= this.#limit;
     if (fetch.isDone && isAtFullSpeed) {
       this.#recordFullSpeedDuration(fetch.durationMs, now);
     }
-    const quickestMs = this.#getMinDurationMs(now);
-    const isLong = alikeMs > MAX_FULL_SPEED_RATIO * quickestMs;
-    const isTelling = fetch.isLast ||
-      (isLong && fetch.crowd > CONGESTED_FRACTION * this.#limit);
-    if (!isTelling || (!isLong && !fetch.isDone)) return;
+    const minDurationMs = this.#getMinDurationMs(now);
+    const isLate = normalizedMs > MAX_FULL_SPEED_RATIO * minDurationMs;
+    const isSignificant = fetch.isAtHostShare ||
+      (isLate && fetch.concurrentFetches > CONGESTED_FRACTION * this.#limit);
+    if (!isSignificant || (!isLate && !fetch.isDone)) return;
     this.#hasLocalSamples = true;
-    if (isLong) {
-      this.#recordLateLoad(
-        MAX_FULL_SPEED_RATIO * quickestMs / alikeMs,
+    if (isLate) {
+      this.#recordLateFetch(
+        MAX_FULL_SPEED_RATIO * minDurationMs / normalizedMs,
         fetch.orderedAt,
         now,
       );
@@ -248,17 +249,17 @@
     }
     this.#onTimeStreak += 1;
     // More can't be in flight, since the platform limits the loads per engine.
-    const most = MAX_LOADING * this.#engineCount;
+    const maxLimit = MAX_LOADING * this.#engineCount;
     this.#limit = Math.min(
-      Math.max(most, this.#limit),
-      this.#limit + this.#computeGrowth(fetch.isOnlyOwn),
+      Math.max(maxLimit, this.#limit),
+      this.#limit + this.#computeGrowth(fetch.isAtMinConcurrency),
     );
   }
 
-  #computeGrowth(isOnlyOwn: boolean): number {
-    if (!this.#hasSeenLateLoad) return SLOW_START_GROWTH * this.#limit;
+  #computeGrowth(isAtMinConcurrency: boolean): number {
+    if (!this.#hasSeenLateFetch) return SLOW_START_GROWTH * this.#limit;
     const isStreak = this.#onTimeStreak > FAST_GROWTH_STREAK;
-    const growth = isStreak || isOnlyOwn ? FAST_GROWTH : NORMAL_GROWTH;
+    const growth = isStreak || isAtMinConcurrency ? FAST_GROWTH : NORMAL_GROWTH;
     return growth * this.#limit;
   }
 
@@ -266,35 +267,38 @@
    * Lowers the limit, once for all fetches that were in flight at the same
    * time.
    */
-  #recordLateLoad(
-    part: number,
+  #recordLateFetch(
+    factor: number,
     orderedAt: Milliseconds,
     now: Milliseconds,
   ): void {
     this.#onTimeStreak = 0;
-    this.#hasSeenLateLoad = true;
+    this.#hasSeenLateFetch = true;
     if (orderedAt < this.#decreasedAt) return;
     this.#decreasedAt = now;
-    const kept = Math.min(
+    const boundedFactor = Math.min(
       MAX_DECREASE_FACTOR,
-      Math.max(MIN_DECREASE_FACTOR, part),
+      Math.max(MIN_DECREASE_FACTOR, factor),
     );
     // The peers' fetches are known with a delay, so a fetch that is a little
     // late is no evidence against the initial limit.
-    const least = part > MILD_DECREASE_FACTOR
+    const minLimit = factor > MILD_DECREASE_FACTOR
       ? Math.min(this.#initialLimit, this.#limit)
       : MIN_LIMIT;
-    this.#limit = Math.max(least, kept * this.#limit);
+    this.#limit = Math.max(minLimit, boundedFactor * this.#limit);
   }
 
   #getMinDurationMs(now: Milliseconds): Milliseconds {
     this.#firstSampleAt ??= now;
-    const seenMs = Math.min(this.#minDurationMs, this.#previousMinDurationMs);
+    const observedMs = Math.min(
+      this.#minDurationMs,
+      this.#previousMinDurationMs,
+    );
     const isEarly =
       now - this.#firstSampleAt < INITIAL_MIN_DURATION_LIFETIME_MS;
-    return isEarly || !Number.isFinite(seenMs)
-      ? Math.min(seenMs, INITIAL_MIN_DURATION_MS)
-      : seenMs;
+    return isEarly || !Number.isFinite(observedMs)
+      ? Math.min(observedMs, INITIAL_MIN_DURATION_MS)
+      : observedMs;
   }
 
   #recordFullSpeedDuration(durationMs: Milliseconds, now: Milliseconds): void {
@@ -315,7 +319,9 @@
  * flight per engine as this host.
  */
 function estimateFleetFetches(
-  { ownFetches: own, peerFetches: others, engineShare }: FetchCount,
+  { ownFetches, peerFetches, engineShare }: FetchCount,
 ): number {
-  return others === undefined ? own / engineShare : own + others;
+  return peerFetches === undefined
+    ? ownFetches / engineShare
+    : ownFetches + peerFetches;
 }
--- a/src/core/placement/upstream_backoff.ts
+++ b/src/core/placement/upstream_backoff.ts
@@ -49,8 +49,8 @@
    */
   getRemainingMs(upstream: UpstreamInstance, now: Milliseconds): Milliseconds {
     const backoff = this.#backoffs.get(upstream.id);
-    const isSameStart = backoff?.bornAtUnixMs === upstream.bornAtUnixMs;
-    return backoff && isSameStart ? Math.max(0, backoff.until - now) : 0;
+    const isSameInstance = backoff?.bornAtUnixMs === upstream.bornAtUnixMs;
+    return backoff && isSameInstance ? Math.max(0, backoff.until - now) : 0;
   }
 
   /** Returns the upstreams that accept requests of this host. */
--- a/src/core/placement/upstream_health.ts
+++ b/src/core/placement/upstream_health.ts
@@ -77,24 +77,24 @@
 
   recordSignal(
     upstreamId: string,
-    sign: HealthSignal,
+    signal: HealthSignal,
     now: Milliseconds,
   ): void {
-    const record = this.#updateCounts(upstreamId, now);
-    switch (sign) {
+    const counts = this.#updateCounts(upstreamId, now);
+    switch (signal) {
       case HealthSignal.Answered:
-        record.answered += 1;
-        record.avoidedUntil = now;
+        counts.answered += 1;
+        counts.avoidedUntil = now;
         break;
       case HealthSignal.Failed:
-        record.failed += 1;
+        counts.failed += 1;
         break;
       case HealthSignal.Rejected:
-        record.failed += 0.5;
+        counts.failed += 0.5;
         break;
       case HealthSignal.Unreachable:
-        record.failed += 1;
-        record.avoidedUntil = now + UNREACHABLE_AVOIDANCE_MS;
+        counts.failed += 1;
+        counts.avoidedUntil = now + UNREACHABLE_AVOIDANCE_MS;
         break;
     }
   }
@@ -103,8 +103,8 @@
   getFailureRate(upstreamId: string, now: Milliseconds): number {
     if (!this.#counts.has(upstreamId)) return 0;
     const { answered, failed } = this.#updateCounts(upstreamId, now);
-    const share = failed / (answered + failed + PRIOR_SUCCESSES);
-    return share < NEGLIGIBLE_FAILURE_RATE ? 0 : share;
+    const rate = failed / (answered + failed + PRIOR_SUCCESSES);
+    return rate < NEGLIGIBLE_FAILURE_RATE ? 0 : rate;
   }
 
   /** Returns this host's counts for failing upstreams, to be sent to peers. */
@@ -137,9 +137,9 @@
   /** Returns whether requests should go to other upstreams if possible. */
   isAvoided(upstreamId: string, now: Milliseconds): boolean {
     if (this.#isUnhealthyFleetWide(upstreamId, now)) return true;
-    const record = this.#counts.get(upstreamId);
-    if (!record) return false;
-    return record.avoidedUntil > now ||
+    const counts = this.#counts.get(upstreamId);
+    if (!counts) return false;
+    return counts.avoidedUntil > now ||
       this.getFailureRate(upstreamId, now) >= UNHEALTHY_FAILURE_RATE;
   }
 
@@ -147,26 +147,26 @@
   #isUnhealthyFleetWide(upstreamId: string, now: Milliseconds): boolean {
     const reported = this.#reported.get(upstreamId);
     if (!reported) return false;
-    const own = this.#counts.has(upstreamId)
+    const ownCounts = this.#counts.has(upstreamId)
       ? this.#updateCounts(upstreamId, now)
       : { failed: 0, answered: 0 };
     const hosts = reported.hosts +
-      (own.failed >= MIN_PUBLISHED_FAILURES ? 1 : 0);
-    const failed = reported.failed + own.failed;
-    const all = failed + reported.answered + own.answered;
+      (ownCounts.failed >= MIN_PUBLISHED_FAILURES ? 1 : 0);
+    const failed = reported.failed + ownCounts.failed;
+    const attempts = failed + reported.answered + ownCounts.answered;
     return hosts >= MIN_REPORTING_HOSTS && failed >= MIN_FLEET_FAILURES &&
-      failed / (all + PRIOR_SUCCESSES) >= UNHEALTHY_FLEET_FAILURE_RATE;
+      failed / (attempts + PRIOR_SUCCESSES) >= UNHEALTHY_FLEET_FAILURE_RATE;
   }
 
   #updateCounts(upstreamId: string, now: Milliseconds): OutcomeCounts {
-    const record = this.#counts.get(upstreamId) ??
+    const counts = this.#counts.get(upstreamId) ??
       { answered: 0, failed: 0, updatedAt: now, avoidedUntil: now };
-    const decay = computeDecay(now - record.updatedAt, HALF_LIFE_MS);
-    record.answered *= decay;
-    record.failed *= decay;
-    record.updatedAt = now;
-    this.#counts.set(upstreamId, record);
-    return record;
+    const decay = computeDecay(now - counts.updatedAt, HALF_LIFE_MS);
+    counts.answered *= decay;
+    counts.failed *= decay;
+    counts.updatedAt = now;
+    this.#counts.set(upstreamId, counts);
+    return counts;
   }
 }
 
--- a/src/core/placement/upstream_ranking.ts
+++ b/src/core/placement/upstream_ranking.ts
@@ -57,33 +57,33 @@
   now: Milliseconds,
 ): PublishedUpstream[] {
   const ranked = rankByRendezvous(adapterPath, engines);
-  const [ill, sound] = partition(
+  const [unhealthy, healthy] = partition(
     ranked,
     (engine) => health.isAvoided(engine.id, now),
   );
-  const [holding, others] = partition(
-    sound,
+  const [loaded, others] = partition(
+    healthy,
     (engine) => engine.adapters.has(adapterPath),
   );
-  const [near, distant] = partition(
-    holding,
+  const [local, remote] = partition(
+    loaded,
     (engine) => engine.failureDomain === demand.failureDomain,
   );
   return [
-    ...moveLocalReplicasFirst([...near, ...distant, ...others], demand),
-    ...ill,
+    ...moveLocalReplicasFirst([...local, ...remote, ...others], demand),
+    ...unhealthy,
   ];
 }
 
 /** Splits values by a predicate and preserves their order. */
 function partition<T>(
   values: readonly T[],
-  holds: (value: T) => boolean,
-): [those: T[], others: T[]] {
-  const those: T[] = [];
+  predicate: (value: T) => boolean,
+): [matches: T[], others: T[]] {
+  const matches: T[] = [];
   const others: T[] = [];
-  for (const value of values) (holds(value) ? those : others).push(value);
-  return [those, others];
+  for (const value of values) (predicate(value) ? matches : others).push(value);
+  return [matches, others];
 }
 
 /**
@@ -97,16 +97,16 @@
   if (
     demand.isLoadNeeded && demand.concurrentRuns < MIN_RUNS_FOR_LOCAL_REPLICA
   ) return ranked;
-  const near = ranked.filter((engine) =>
+  const local = ranked.filter((engine) =>
     engine.failureDomain === demand.failureDomain
   );
-  const homeCount = Math.ceil(
+  const replicaCount = Math.ceil(
     demand.prefillLoad / MAX_REPLICA_PREFILL_FRACTION,
   );
-  const homes = near.slice(0, Math.max(1, homeCount));
-  const first = hashText(demand.spreadKey) % Math.max(1, homes.length);
-  const chosen = [...homes.slice(first), ...homes.slice(0, first)];
-  return [...chosen, ...ranked.filter((each) => !chosen.includes(each))];
+  const replicas = local.slice(0, Math.max(1, replicaCount));
+  const offset = hashText(demand.spreadKey) % Math.max(1, replicas.length);
+  const rotated = [...replicas.slice(offset), ...replicas.slice(0, offset)];
+  return [...rotated, ...ranked.filter((each) => !rotated.includes(each))];
 }
 
 /** Known load of an upstream of a plain service. */
@@ -171,11 +171,11 @@
     load?.ownRunning ?? 0,
     isReportFresh ? load.reportedRunning : 0,
   );
-  const distance = upstream.failureDomain === from.failureDomain
+  const domainPenalty = upstream.failureDomain === from.failureDomain
     ? 0
     : CROSS_DOMAIN_PENALTY;
-  const avoidance = from.health.isAvoided(upstream.id, now) ? 10 : 0;
-  return running / Math.max(1, upstream.maxConcurrentRequests) + distance +
-    avoidance +
+  const avoidancePenalty = from.health.isAvoided(upstream.id, now) ? 10 : 0;
+  return running / Math.max(1, upstream.maxConcurrentRequests) + domainPenalty +
+    avoidancePenalty +
     FAILURE_PENALTY * from.health.getFailureRate(upstream.id, now);
 }
--- a/test/core/admission/permit_wait_test.ts
+++ b/test/core/admission/permit_wait_test.ts
@@ -7,20 +7,21 @@
  * Callers abandon a stream after four objectives without an event, two seconds
  * at the least.
  */
-const LEAVES_AT = (objectiveMs: number) => Math.max(2_000, 4 * objectiveMs);
+const computeAbandonMs = (objectiveMs: number) =>
+  Math.max(2_000, 4 * objectiveMs);
 
-test("a chat with a long limit does not wait until its caller has left", () => {
-  const patience = computeMaxPermitWaitMs({
+test("a chat with a long timeout doesn't wait until its caller has left", () => {
+  const waitMs = computeMaxPermitWaitMs({
     latencyObjectiveMs: 800,
     interTokenObjectiveMs: 0,
     elapsedMs: 0,
     remainingMs: 15_000,
   });
-  assert.ok(patience < LEAVES_AT(800) - 500, String(patience));
-  assert.ok(patience > 800);
+  assert.ok(waitMs < computeAbandonMs(800) - 500, String(waitMs));
+  assert.ok(waitMs > 800);
 });
 
-test("a caller with a short objective stays for eight of the pauses that are in time", () => {
+test("with a short latency objective, callers stay for eight inter-token objectives", () => {
   const request = {
     latencyObjectiveMs: 500,
     elapsedMs: 0,
@@ -34,28 +35,28 @@
     ...request,
     interTokenObjectiveMs: 300,
   });
-  assert.ok(short < LEAVES_AT(500) - 500, String(short));
+  assert.ok(short < computeAbandonMs(500) - 500, String(short));
   assert.is(long - short, 400);
 });
 
-test("what has waited already counts", () => {
-  const patience = computeMaxPermitWaitMs({
+test("the time already waited counts", () => {
+  const waitMs = computeMaxPermitWaitMs({
     latencyObjectiveMs: 800,
     interTokenObjectiveMs: 0,
     elapsedMs: 2_400,
     remainingMs: 12_600,
   });
-  assert.ok(2_400 + patience < LEAVES_AT(800) - 500, String(patience));
+  assert.ok(2_400 + waitMs < computeAbandonMs(800) - 500, String(waitMs));
 });
 
-test("a place that can still be in time is waited for, within the limit", () => {
-  const patience = computeMaxPermitWaitMs({
+test("a request waits while it can still be on time, up to its remaining time", () => {
+  const waitMs = computeMaxPermitWaitMs({
     latencyObjectiveMs: 1_000,
     interTokenObjectiveMs: 0,
     elapsedMs: 100,
     remainingMs: 700,
   });
-  assert.is(patience, 700);
+  assert.is(waitMs, 700);
 });
 
 test.run();
--- a/test/core/admission/retry_after_test.ts
+++ b/test/core/admission/retry_after_test.ts
@@ -10,7 +10,7 @@
   canFinishBefore,
 } from "../../../src/core/admission/stop_admission.ts";
 
-test("a crowd refused in one moment returns spread over half of the wait", () => {
+test("callers refused at the same moment get retry times spread over half of the wait", () => {
   const times = Array.from({ length: 200 }, (_, index) =>
     computeRetryAfterMs({
       requestId: `r${index}`,
@@ -23,7 +23,7 @@
   assert.ok(early > 70 && early < 130, `${early} of 200 in the first half`);
 });
 
-test("the time is one that the caller honours", () => {
+test("the retry time is at most a third of the remaining time", () => {
   const time = computeRetryAfterMs({
     requestId: "r",
     expectedWaitMs: 5_000,
@@ -32,7 +32,7 @@
   assert.is(time, 300);
 });
 
-test("a stopping daemon takes what it can finish and refuses what it can't", () => {
+test("a stopping daemon admits only requests that it can complete in time", () => {
   const chat = {
     isGeneration: true,
     promptTokens: 826,
@@ -51,7 +51,7 @@
   assert.not(canFinishBefore(8_000, booking, 7_000));
 });
 
-test("a stopping daemon takes no generation once the balancer must know of the stop", () => {
+test("a stopping daemon admits no generation once the load balancer must know that it stops", () => {
   // A generation admitted 3.3 s after the stop notice was still running 4.3 s
   // later on a crowded engine.
   const chat = {
--- a/test/core/admission/run_estimator_test.ts
+++ b/test/core/admission/run_estimator_test.ts
@@ -6,21 +6,27 @@
 import * as assert from "uvu/assert";
 import { RunEstimator } from "../../../src/core/admission/run_estimator.ts";
 
-test("the mean duration follows the runs", () => {
-  const pace = new RunEstimator();
-  for (let run = 0; run < 200; run += 1) pace.recordRun(3_000);
-  assert.ok(Math.abs(pace.meanRunMs - 3_000) < 20, `${pace.meanRunMs}`);
+test("the mean duration converges to that of the runs", () => {
+  const estimator = new RunEstimator();
+  for (let run = 0; run < 200; run += 1) estimator.recordRun(3_000);
+  assert.ok(
+    Math.abs(estimator.meanRunMs - 3_000) < 20,
+    `${estimator.meanRunMs}`,
+  );
 });
 
-test("the time between idle slots follows them; an idle engine does not make it long", () => {
-  const pace = new RunEstimator();
-  for (let now = 0; now < 4_000; now += 40) pace.recordSlotReleased(now);
+test("the mean release interval converges, and one long interval of an idle engine hardly changes it", () => {
+  const estimator = new RunEstimator();
+  for (let now = 0; now < 4_000; now += 40) estimator.recordSlotReleased(now);
+  assert.ok(
+    Math.abs(estimator.slotReleaseIntervalMs - 40) < 2,
+    `${estimator.slotReleaseIntervalMs}`,
+  );
+  estimator.recordSlotReleased(600_000);
   assert.ok(
-    Math.abs(pace.slotReleaseIntervalMs - 40) < 2,
-    `${pace.slotReleaseIntervalMs}`,
+    estimator.slotReleaseIntervalMs < 200,
+    `${estimator.slotReleaseIntervalMs}`,
   );
-  pace.recordSlotReleased(600_000);
-  assert.ok(pace.slotReleaseIntervalMs < 200, `${pace.slotReleaseIntervalMs}`);
 });
 
 test.run();
--- a/test/core/placement/adapter_demand_test.ts
+++ b/test/core/placement/adapter_demand_test.ts
@@ -6,7 +6,7 @@
 import * as assert from "uvu/assert";
 import { AdapterDemand } from "../../../src/core/placement/adapter_demand.ts";
 
-test("a steady demand is found within a few half lives, and forgotten as fast", () => {
+test("steady demand is measured within a few half-lives and decays as fast", () => {
   const demand = new AdapterDemand();
   for (let now = 0; now < 30_000; now += 100) {
     demand.recordRequest(
@@ -21,7 +21,7 @@
   assert.is(demand.getRate("m/a2", 30_000).requestsPerMs, 0);
 });
 
-test("one or two requests are no demand, however many hosts there are to multiply them by", () => {
+test("one or two requests are not significant, however many hosts they are multiplied by", () => {
   const demand = new AdapterDemand();
   demand.recordRequest({ adapterPath: "m/a1", unsharedPromptTokens: 400 }, 0);
   demand.recordRequest({ adapterPath: "m/a1", unsharedPromptTokens: 400 }, 100);
@@ -31,7 +31,7 @@
   assert.ok(demand.getRate("m/a1", 300).requestsPerMs > 0);
 });
 
-test("thousands of rare adapters do not push out what is in use", () => {
+test("thousands of rare adapters do not displace a popular one", () => {
   const demand = new AdapterDemand();
   for (let request = 0; request < 20_000; request += 1) {
     const now = request * 5;
--- a/test/core/placement/domain_reachability_test.ts
+++ b/test/core/placement/domain_reachability_test.ts
@@ -10,23 +10,27 @@
   id,
   failureDomain: id.slice(0, 1),
 }));
-const CUT_MS = 6_000;
+const PARTITION_MS = 6_000;
 /** Cost of an attempt at an unreachable upstream. */
 const CONNECT_TIMEOUT_MS = 400;
 
-test("of hundreds of requests during a cut a few meet it, not one for each upstream and pause", () => {
+test("a network partition costs only few of hundreds of requests, not one per upstream and retry", () => {
   const reachability = new DomainReachability();
   let attempts = 0;
   let failures: number[] = [];
-  for (let now = 0; now < CUT_MS; now += 10) {
+  for (let now = 0; now < PARTITION_MS; now += 10) {
     for (const failedAt of failures.filter((at) => at <= now)) {
       reachability.recordUnreachable("b", failedAt);
     }
     failures = failures.filter((at) => at > now);
     // Heartbeats have to be missing for 1.6 s before a peer counts as dead.
-    const isHeard = (domain: string) => domain !== "b" || now < 1_600;
-    const open = reachability.selectReachable(UPSTREAMS, isHeard, now);
-    const chosen = open[(now / 10) % open.length];
+    const hasAlivePeer = (domain: string) => domain !== "b" || now < 1_600;
+    const reachable = reachability.selectReachable(
+      UPSTREAMS,
+      hasAlivePeer,
+      now,
+    );
+    const chosen = reachable[(now / 10) % reachable.length];
     if (chosen?.failureDomain !== "b" || now < 1_600) continue;
     attempts += 1;
     failures.push(now + CONNECT_TIMEOUT_MS);
@@ -36,7 +40,7 @@
   assert.ok(attempts <= 2 * CONNECT_TIMEOUT_MS / 10 / 2 + 2, `${attempts}`);
 });
 
-test("one failed upstream does not close a failure domain whose peers are heard", () => {
+test("a failed upstream does not make its failure domain unreachable while peers there are alive", () => {
   const reachability = new DomainReachability();
   reachability.recordUnreachable("b", 0);
   assert.not(reachability.isUnreachable("b", true, 10));
@@ -44,7 +48,7 @@
   assert.not(reachability.isUnreachable("c", false, 10));
 });
 
-test("an answer from there opens it again, and so does time", () => {
+test("a failure domain is reachable again after an answer, or after some time", () => {
   const reachability = new DomainReachability();
   reachability.recordUnreachable("b", 0);
   reachability.recordReached("b");
@@ -53,13 +57,13 @@
   assert.not(reachability.isUnreachable("b", false, 4_000));
 });
 
-test("where nothing can be reached nothing is left out", () => {
+test("if no failure domain is reachable, none is excluded", () => {
   const reachability = new DomainReachability();
   for (const domain of ["a", "b", "c"]) {
     reachability.recordUnreachable(domain, 0);
   }
-  const open = reachability.selectReachable(UPSTREAMS, () => false, 10);
-  assert.is(open.length, UPSTREAMS.length);
+  const reachable = reachability.selectReachable(UPSTREAMS, () => false, 10);
+  assert.is(reachable.length, UPSTREAMS.length);
 });
 
 test.run();
--- a/test/core/placement/fetch_concurrency_limit_test.ts
+++ b/test/core/placement/fetch_concurrency_limit_test.ts
@@ -10,7 +10,7 @@
 
 const STEP_MS = 10;
 /** Maximum number of loads in progress per engine, set by the platform. */
-const MAX_COMING = 4;
+const MAX_LOADING = 4;
 /** Delay before an engine is asked again for an adapter that was not loaded. */
 const RETRY_MS = 60;
 /** Heartbeat interval in a small fleet. */
@@ -22,19 +22,19 @@
   path: string;
   engine: SimulatedEngine;
   /** Remaining work, in milliseconds at full speed. */
-  leftMs: number;
+  remainingMs: number;
 }
 
 interface SimulatedHost {
-  window: FetchConcurrencyLimit;
+  fetchLimit: FetchConcurrencyLimit;
   engines: SimulatedEngine[];
   /** Fetches in flight and limit, as last published in a heartbeat. */
-  toldFetches: number;
-  toldFullSpeed: number | undefined;
+  publishedFetches: number;
+  publishedLimit: number | undefined;
 }
 
 class SimulatedEngine {
-  readonly places = new AdapterSlots(MAX_COMING + 4);
+  readonly slots = new AdapterSlots(MAX_LOADING + 4);
   readonly host: SimulatedHost;
 
   constructor(host: SimulatedHost) {
@@ -46,12 +46,12 @@
   /** Completed loads per second, after the start. */
   rate: number;
   /** Mean number of loads in flight, after the start. */
-  onTheWay: number;
+  inFlight: number;
 }
 
 function countOwn(host: SimulatedHost): number {
   return host.engines.reduce(
-    (count, each) => count + each.places.countLoading(),
+    (count, each) => count + each.slots.countLoading(),
     0,
   );
 }
@@ -70,9 +70,14 @@
   untilMs: number;
 }): Outcome {
   const hosts = Array.from({ length: options.hosts }, (): SimulatedHost => {
-    const window = new FetchConcurrencyLimit();
-    window.setEngineCount(options.engines);
-    return { window, engines: [], toldFetches: 0, toldFullSpeed: undefined };
+    const fetchLimit = new FetchConcurrencyLimit();
+    fetchLimit.setEngineCount(options.engines);
+    return {
+      fetchLimit,
+      engines: [],
+      publishedFetches: 0,
+      publishedLimit: undefined,
+    };
   });
   const engines = Array.from({ length: options.engines }, (_, index) => {
     const host = hosts[index % hosts.length];
@@ -90,74 +95,74 @@
   let steps = 0;
   for (let now = 0; now < options.untilMs; now += STEP_MS) {
     const speed = Math.min(1, options.getFullSpeed(now) / loads.length);
-    for (const load of loads) load.leftMs -= STEP_MS * speed;
-    for (const engine of engines) followLoads(engine, loads, now);
+    for (const load of loads) load.remainingMs -= STEP_MS * speed;
+    for (const engine of engines) processLoads(engine, loads, now);
     const before = loads.length;
-    loads = loads.filter((load) => load.engine.places.getSlot(load.path));
+    loads = loads.filter((load) => load.engine.slots.getSlot(load.path));
     if (now >= options.fromMs) {
       done += before - loads.length;
       sum += loads.length;
       steps += 1;
     }
     hosts.forEach((host, index) => {
-      const isBeat = (now + index * 70) % HEARTBEAT_MS < STEP_MS;
-      if (!isBeat) return;
-      host.toldFetches = countOwn(host);
-      host.toldFullSpeed = host.window.measuredLimit;
+      const isHeartbeatDue = (now + index * 70) % HEARTBEAT_MS < STEP_MS;
+      if (!isHeartbeatDue) return;
+      host.publishedFetches = countOwn(host);
+      host.publishedLimit = host.fetchLimit.measuredLimit;
       if (!isFullMesh) return;
-      host.window.recordPeerLimits(
+      host.fetchLimit.recordPeerLimits(
         hosts.filter((each) => each !== host)
-          .flatMap((each) => each.toldFullSpeed ?? []),
+          .flatMap((each) => each.publishedLimit ?? []),
       );
     });
     for (const engine of engines) {
-      const { host, places } = engine;
+      const { host, slots } = engine;
       const own = countOwn(host);
       const others = hosts.reduce(
-        (count, each) => count + (each === host ? 0 : each.toldFetches),
+        (count, each) => count + (each === host ? 0 : each.publishedFetches),
         0,
       );
-      const share = host.window.computeShare({
+      const share = host.fetchLimit.computeShare({
         ownFetches: own,
         peerFetches: isFullMesh ? others : undefined,
         engineShare: Math.max(1, host.engines.length) /
           Math.max(options.engines, holders),
         owners: holders,
       });
-      if (places.countLoading() >= MAX_COMING || !share.canFetch) continue;
+      if (slots.countLoading() >= MAX_LOADING || !share.canFetch) continue;
       next += 1;
       const path = `m/a${next}`;
-      places.setFetchShare(share);
-      places.recordLoadOrdered(path, undefined, now);
-      loads.push({ path, engine, leftMs: options.loadMs });
+      slots.setFetchShare(share);
+      slots.recordLoadOrdered(path, undefined, now);
+      loads.push({ path, engine, remainingMs: options.loadMs });
     }
   }
   const seconds = (options.untilMs - options.fromMs) / 1_000;
-  return { rate: done / seconds, onTheWay: sum / steps };
+  return { rate: done / seconds, inFlight: sum / steps };
 }
 
 /**
  * Sends a request when a load is expected to be done; the engine runs or
  * rejects it.
  */
-function followLoads(
+function processLoads(
   engine: SimulatedEngine,
   loads: readonly Load[],
   now: number,
 ): void {
-  const { places, host } = engine;
-  for (const place of places.completeLoads(now)) {
-    const load = loads.find((each) => each.path === place.adapterPath);
-    if (load && load.leftMs > 0) {
-      places.recordLoadLate(place, RETRY_MS, now);
+  const { slots, host } = engine;
+  for (const slot of slots.completeLoads(now)) {
+    const load = loads.find((each) => each.path === slot.adapterPath);
+    if (load && load.remainingMs > 0) {
+      slots.recordLoadLate(slot, RETRY_MS, now);
     } else {
-      places.recordLoadConfirmed(place);
-      for (let token = 0; token < 5; token += 1) places.recordLoadOnTime(now);
-      places.recordEvicted(place.adapterPath);
+      slots.recordLoadConfirmed(slot);
+      for (let token = 0; token < 5; token += 1) slots.recordLoadOnTime(now);
+      slots.recordEvicted(slot.adapterPath);
     }
   }
-  for (const observation of places.takeObservations()) {
-    host.window.recordFetch(observation, now);
+  for (const observation of slots.takeObservations()) {
+    host.fetchLimit.recordFetch(observation, now);
   }
 }
 
@@ -179,7 +184,7 @@
 for (const { hosts, engines, fullSpeed, loadMs } of SITES) {
   const name = `${engines} engines of ${hosts} hosts`;
   test(`a store of ${fullSpeed} loads of ${loadMs} ms is used, ${name}`, () => {
-    const { rate, onTheWay } = simulate({
+    const { rate, inFlight } = simulate({
       hosts,
       engines,
       loadMs,
@@ -190,14 +195,17 @@
     const bestRate = fullSpeed / (loadMs / 1_000);
     assert.ok(rate > bestRate / FACTOR, `${rate} of ${bestRate} a second`);
     // Each owner keeps one in flight, whatever the capacity of the store.
-    const most = FACTOR * Math.max(fullSpeed, Math.min(hosts, engines));
-    assert.ok(onTheWay < most, `${onTheWay} on the way, expected ${most}`);
+    const maxInFlight = FACTOR * Math.max(fullSpeed, Math.min(hosts, engines));
+    assert.ok(
+      inFlight < maxInFlight,
+      `${inFlight} in flight, expected ${maxInFlight}`,
+    );
   });
 }
 
 for (const [before, after] of [[24, 8], [8, 24], [104, 24]] as const) {
-  test(`a store that gives full speed to ${before} and then to ${after} is followed`, () => {
-    const { rate, onTheWay } = simulate({
+  test(`the limit follows a store that serves ${before}, then ${after} loads at full speed`, () => {
+    const { rate, inFlight } = simulate({
       hosts: 8,
       engines: 26,
       loadMs: 250,
@@ -208,90 +216,108 @@
     const bestRate = after / 0.25;
     assert.ok(rate > bestRate / FACTOR, `${rate} of ${bestRate} a second`);
     // Each host may have three in flight before it hears of the others'.
-    const most = Math.max(FACTOR * after, 3 * 8);
-    assert.ok(onTheWay < most, `${onTheWay} on the way, expected ${most}`);
+    const maxInFlight = Math.max(FACTOR * after, 3 * 8);
+    assert.ok(
+      inFlight < maxInFlight,
+      `${inFlight} in flight, expected ${maxInFlight}`,
+    );
   });
 }
 
-test("loads beside few others tell nothing", () => {
-  const window = new FetchConcurrencyLimit();
-  window.setEngineCount(13);
-  const before = window.limit;
+test("fetches beside few others don't change the limit", () => {
+  const fetchLimit = new FetchConcurrencyLimit();
+  fetchLimit.setEngineCount(13);
+  const before = fetchLimit.limit;
   for (let load = 0; load < 50; load += 1) {
     const orderedAt = load * 300;
     const durationMs = load % 2 === 0 ? 260 : 600;
-    window.recordFetch(
+    fetchLimit.recordFetch(
       {
         orderedAt,
-        crowd: 3,
+        concurrentFetches: 3,
         durationMs,
         isDone: true,
-        isOnlyOwn: false,
-        isLast: false,
+        isAtMinConcurrency: false,
+        isAtHostShare: false,
       },
       orderedAt + durationMs,
     );
   }
-  assert.is(window.limit, before);
+  assert.is(fetchLimit.limit, before);
 });
 
-test("loads that were late together lower the estimate once", () => {
-  const window = new FetchConcurrencyLimit();
-  window.setEngineCount(100);
-  const record = (orderedAt: number, crowd: number, durationMs: number) =>
-    window.recordFetch(
+test("concurrent late fetches lower the limit once", () => {
+  const fetchLimit = new FetchConcurrencyLimit();
+  fetchLimit.setEngineCount(100);
+  const record = (
+    orderedAt: number,
+    concurrentFetches: number,
+    durationMs: number,
+  ) =>
+    fetchLimit.recordFetch(
       {
         orderedAt,
-        crowd,
+        concurrentFetches,
         durationMs,
         isDone: true,
-        isOnlyOwn: false,
-        isLast: true,
+        isAtMinConcurrency: false,
+        isAtHostShare: true,
       },
       orderedAt + durationMs,
     );
   record(0, 1, 260);
-  const opened = window.limit;
+  const grown = fetchLimit.limit;
   for (let load = 0; load < 10; load += 1) record(load, 60, 1_000);
-  assert.is(window.limit, opened / 2);
+  assert.is(fetchLimit.limit, grown / 2);
   record(2_000, 20, 1_000);
-  assert.is(window.limit, opened / 4);
+  assert.is(fetchLimit.limit, grown / 4);
 });
 
-test("a load that is a little late does not lower the estimate below the first one", () => {
-  const window = new FetchConcurrencyLimit();
-  window.setEngineCount(100);
-  const first = window.limit;
+test("slightly late fetches do not lower the limit below its initial value", () => {
+  const fetchLimit = new FetchConcurrencyLimit();
+  fetchLimit.setEngineCount(100);
+  const first = fetchLimit.limit;
   const record = (orderedAt: number, durationMs: number) =>
-    window.recordFetch(
+    fetchLimit.recordFetch(
       {
         orderedAt,
-        crowd: 60,
+        concurrentFetches: 60,
         durationMs,
         isDone: true,
-        isOnlyOwn: false,
-        isLast: true,
+        isAtMinConcurrency: false,
+        isAtHostShare: true,
       },
       orderedAt + durationMs,
     );
   for (let load = 0; load < 9; load += 1) record(load, 260);
-  const opened = window.limit;
+  const grown = fetchLimit.limit;
   record(1_000, 360);
-  assert.is(window.limit, 0.85 * opened);
+  assert.is(fetchLimit.limit, 0.85 * grown);
   for (let load = 2; load < 20; load += 1) record(load * 1_000, 360);
-  assert.is(window.limit, first);
+  assert.is(fetchLimit.limit, first);
 });
 
-test("a load that has not taken long yet tells nothing", () => {
-  const window = new FetchConcurrencyLimit();
-  window.setEngineCount(100);
-  const load = { orderedAt: 0, crowd: 60, isOnlyOwn: false, isLast: true };
-  window.recordFetch(
-    { ...load, isOnlyOwn: false, isLast: false, durationMs: 260, isDone: true },
+test("an unfinished fetch that is not late yet doesn't change the limit", () => {
+  const fetchLimit = new FetchConcurrencyLimit();
+  fetchLimit.setEngineCount(100);
+  const load = {
+    orderedAt: 0,
+    concurrentFetches: 60,
+    isAtMinConcurrency: false,
+    isAtHostShare: true,
+  };
+  fetchLimit.recordFetch(
+    {
+      ...load,
+      isAtMinConcurrency: false,
+      isAtHostShare: false,
+      durationMs: 260,
+      isDone: true,
+    },
     260,
   );
-  window.recordFetch({ ...load, durationMs: 280, isDone: false }, 280);
-  assert.is(window.limit, 65);
+  fetchLimit.recordFetch({ ...load, durationMs: 280, isDone: false }, 280);
+  assert.is(fetchLimit.limit, 65);
 });
 
 test.run();
--- a/test/core/placement/upstream_ranking_test.ts
+++ b/test/core/placement/upstream_ranking_test.ts
@@ -35,48 +35,54 @@
   spreadKey: "r",
 };
 
-test("an adapter keeps its home when another engine goes", () => {
+test("an adapter keeps its preferred engine when another engine is removed", () => {
   const health = new UpstreamHealth();
   let moved = 0;
   for (let index = 0; index < 200; index += 1) {
     const path = `m/a${index}`;
-    const [home] = rankEngines(path, UPSTREAMS, IDLE, health, 0);
+    const [preferred] = rankEngines(path, UPSTREAMS, IDLE, health, 0);
     const [after] = rankEngines(path, UPSTREAMS.slice(1), IDLE, health, 0);
-    if (home?.id !== after?.id) moved += 1;
-    if (home?.id !== "1") assert.is(after?.id, home?.id);
+    if (preferred?.id !== after?.id) moved += 1;
+    if (preferred?.id !== "1") assert.is(after?.id, preferred?.id);
   }
   assert.ok(moved > 20 && moved < 60, `${moved} of 200 moved`);
 });
 
 /** Fifteen engines in three failure domains. */
-const SPREAD_OUT = Array.from(
+const MULTI_DOMAIN_ENGINES = Array.from(
   { length: 15 },
   (_, index) => createUpstream(`e${index}`, ["a", "b", "c"][index % 3]),
 );
 
-test("an adapter in wide use is served in its callers' failure domain, the rest at one home", () => {
+test("a popular adapter is served in its callers' failure domain, any other by one preferred engine", () => {
   const health = new UpstreamHealth();
-  const busy = { ...IDLE, concurrentRuns: 3 };
+  const popular = { ...IDLE, concurrentRuns: 3 };
   for (const failureDomain of ["a", "b", "c"]) {
-    const [home] = rankEngines(
+    const [preferred] = rankEngines(
       "m/a1",
-      SPREAD_OUT,
-      { ...busy, failureDomain },
+      MULTI_DOMAIN_ENGINES,
+      { ...popular, failureDomain },
       health,
       0,
     );
-    assert.is(home?.failureDomain, failureDomain);
+    assert.is(preferred?.failureDomain, failureDomain);
   }
-  const homes = new Set(
+  const preferredIds = new Set(
     ["a", "b", "c"].map((failureDomain) =>
-      rankEngines("m/a1", SPREAD_OUT, { ...IDLE, failureDomain }, health, 0)[0]
+      rankEngines(
+        "m/a1",
+        MULTI_DOMAIN_ENGINES,
+        { ...IDLE, failureDomain },
+        health,
+        0,
+      )[0]
         ?.id
     ),
   );
-  assert.is(homes.size, 1);
+  assert.is(preferredIds.size, 1);
 });
 
-test("an adapter that would keep one engine busy alone gets several homes, evenly used", () => {
+test("an adapter that would saturate one engine gets several evenly used replicas", () => {
   const health = new UpstreamHealth();
   const uses = new Map<string, number>();
   for (let request = 0; request < 300; request += 1) {
@@ -86,22 +92,34 @@
       prefillLoad: 0.6,
       spreadKey: `r${request}`,
     };
-    const [home] = rankEngines("m/a1", SPREAD_OUT, demand, health, 0);
-    assert.is(home?.failureDomain, "a");
-    const id = home?.id ?? "";
+    const [preferred] = rankEngines(
+      "m/a1",
+      MULTI_DOMAIN_ENGINES,
+      demand,
+      health,
+      0,
+    );
+    assert.is(preferred?.failureDomain, "a");
+    const id = preferred?.id ?? "";
     uses.set(id, (uses.get(id) ?? 0) + 1);
   }
   assert.is(uses.size, 3);
   for (const count of uses.values()) assert.ok(count > 70, `${count} of 300`);
 });
 
-test("an engine that holds the adapter comes before a home that would load it, a near one first", () => {
+test("an engine that holds the adapter comes before a preferred one that would load it, a local one first", () => {
   const health = new UpstreamHealth();
-  const home = rankEngines("m/a7", SPREAD_OUT, IDLE, health, 0)[0]?.id;
-  const engines = SPREAD_OUT.map((engine) => ({
+  const preferred = rankEngines(
+    "m/a7",
+    MULTI_DOMAIN_ENGINES,
+    IDLE,
+    health,
+    0,
+  )[0]?.id;
+  const engines = MULTI_DOMAIN_ENGINES.map((engine) => ({
     ...engine,
     adapters: new Map(
-      engine.id !== home && ["e1", "e3", "e4"].includes(engine.id)
+      engine.id !== preferred && ["e1", "e3", "e4"].includes(engine.id)
         ? [["m/a7", 1]]
         : [],
     ),
@@ -115,26 +133,32 @@
   );
 });
 
-test("the base model costs no load and is asked for nearby", () => {
+test("the base model takes no load and is served in the local failure domain", () => {
   const health = new UpstreamHealth();
   const demand = { ...IDLE, failureDomain: "b", isLoadNeeded: false };
-  const [first] = rankEngines("m|part", SPREAD_OUT, demand, health, 0);
+  const [first] = rankEngines(
+    "m|part",
+    MULTI_DOMAIN_ENGINES,
+    demand,
+    health,
+    0,
+  );
   assert.is(first?.failureDomain, "b");
 });
 
-test("an engine that can't be reached is asked last, and again after its pause", () => {
+test("an unreachable engine is ranked last until its avoidance time has passed", () => {
   const health = new UpstreamHealth();
-  const [home] = rankEngines("m/a1", UPSTREAMS, IDLE, health, 0);
-  health.recordSignal(home?.id ?? "", "unreachable", 0);
+  const [preferred] = rankEngines("m/a1", UPSTREAMS, IDLE, health, 0);
+  health.recordSignal(preferred?.id ?? "", "unreachable", 0);
   const during = rankEngines("m/a1", UPSTREAMS, IDLE, health, 100);
-  assert.is(during.at(-1)?.id, home?.id);
+  assert.is(during.at(-1)?.id, preferred?.id);
   assert.is(
     rankEngines("m/a1", UPSTREAMS, IDLE, health, 3_000)[0]?.id,
-    home?.id,
+    preferred?.id,
   );
 });
 
-test("an upstream that fails half of its requests gets few, and all when it recovers", () => {
+test("an upstream that fails half of its requests is avoided until it recovers", () => {
   const health = new UpstreamHealth();
   const rankAt = (now: number, key: string) =>
     rankServiceUpstreams(UPSTREAMS, {
@@ -157,7 +181,7 @@
   assert.ok(countThird(60_000) > 15);
 });
 
-test("near upstreams come first until they are busier by a quarter", () => {
+test("local upstreams come first until their load is higher by a quarter", () => {
   const near = createUpstream("near", "a");
   const far = createUpstream("far", "b");
   const rank = (ownRunning: number) =>
