--- a/src/core/admission/admission_controller.ts
+++ b/src/core/admission/admission_controller.ts
@@ -56,8 +56,8 @@
     /** Time after which a permit is expected to be available. */
     retryAfterMs: Milliseconds;
     /**
-     * The engine's owner, as far as a daemon knows it that is not the owner
-     * itself.
+     * The engine's owner, if it is known to a daemon that denies the request
+     * because it is not the owner itself.
      */
     knownHolder?: string;
   };
--- a/src/core/admission/permit_wait.ts
+++ b/src/core/admission/permit_wait.ts
@@ -9,14 +9,16 @@
 
 /**
  * Callers abandon a stream after this many latency objectives without an event
- * (requirement).
+ * (from the requirements).
  */
 const ABANDON_LATENCY_OBJECTIVES = 4;
-/** Shortest time after which callers abandon a stream (requirement). */
+/**
+ * Shortest time after which callers abandon a stream (from the requirements).
+ */
 const MIN_ABANDON_MS = 2_000;
 /**
  * Callers also wait for this many inter-token objectives, the longest gap
- * between events with which a stream is on time (requirement).
+ * between events with which a stream is on time (from the requirements).
  */
 const ABANDON_INTER_TOKEN_OBJECTIVES = 8;
 /** Time from the grant of a permit to the first event in a busy batch. */
--- a/src/core/admission/retry_after.ts
+++ b/src/core/admission/retry_after.ts
@@ -10,7 +10,7 @@
 
 /** Callers honour a Retry-After of up to a third of their remaining time. */
 const MAX_REMAINING_FRACTION = 1 / 3;
-/** Earliest retry: nothing would have changed before. */
+/** Earliest retry; a sooner one would find the same state. */
 const MIN_RETRY_AFTER_MS = 80;
 /** Maximum jitter as a fraction of the wait. */
 const JITTER_FRACTION = 0.5;
--- a/src/core/admission/run_estimator.ts
+++ b/src/core/admission/run_estimator.ts
@@ -1,15 +1,15 @@
 /**
  * Moving averages of how long runs last and how often an adapter slot is
- * released. While every slot is in use, they tell waiting requests how long
- * they have to wait. Run times differ between sites by a factor of several.
+ * released. While every slot is in use, they predict how long requests have to
+ * wait. Run times differ between sites by a factor of several.
  */
 import type { Milliseconds } from "../structures.ts";
 
 /** Duration of a run before any was observed: some tens of tokens. */
 const INITIAL_RUN_MS = 1_000;
 /**
- * Weight of the latest run in the average, which so covers the runs of the last
- * few seconds.
+ * Weight of the latest run in the average, which thus covers the runs of the
+ * last few seconds.
  */
 const RUN_WEIGHT = 1 / 32;
 /**
--- a/src/core/admission/stop_admission.ts
+++ b/src/core/admission/stop_admission.ts
@@ -18,9 +18,9 @@
 /**
  * Time after the stop notice in which generations are admitted. By then the
  * load balancer has polled twice, so that later requests reach another daemon.
- * How long a crowded engine takes can't be predicted: a request sent within
- * three seconds of the notice may be cut off at the end (requirement), a later
- * one may not.
+ * How long a crowded engine takes can't be predicted: by the requirements, a
+ * request sent within three seconds of the notice may be cut off at the end, a
+ * later one may not.
  */
 const GENERATION_WINDOW_MS = 2_500;
 
--- a/src/core/placement/adapter_slots.ts
+++ b/src/core/placement/adapter_slots.ts
@@ -24,7 +24,7 @@
   state: AdapterSlotState;
   /**
    * For a fetch from the weight store: when it was ordered and how many were in
-   * flight then. Undefined for other loads.
+   * flight then. Undefined for reloads from host memory.
    */
   fetch:
     | Pick<
@@ -187,8 +187,7 @@
   estimateStoreQueueMs(adapterPath: string): Milliseconds {
     if (!this.needsFetch(adapterPath)) return 0;
     const { fleetFetches, fetchLimit } = this.#share;
-    const excess = fleetFetches / fetchLimit -
-      UNQUEUED_FRACTION;
+    const excess = fleetFetches / fetchLimit - UNQUEUED_FRACTION;
     return INITIAL_FETCH_MS * Math.max(0, excess);
   }
 
--- a/src/core/placement/domain_reachability.ts
+++ b/src/core/placement/domain_reachability.ts
@@ -29,7 +29,7 @@
     this.#failedAt.delete(failureDomain);
   }
 
-  /** @param hasAlivePeer whether a peer in the failure domain is heard. */
+  /** @param hasAlivePeer whether heartbeats from a peer in the domain arrive. */
   isUnreachable(
     failureDomain: string,
     hasAlivePeer: boolean,
--- a/src/core/placement/fetch_concurrency_limit.ts
+++ b/src/core/placement/fetch_concurrency_limit.ts
@@ -6,7 +6,7 @@
  * of that number, derived from how long this host's own fetches take: it rises
  * with each fetch that was on time while the host had its share of the limit in
  * flight, and falls when a fetch was late. Hosts exchange their estimates,
- * which so converge.
+ * and thus converge.
  */
 import type { Milliseconds } from "../structures.ts";
 
--- a/test/core/admission/permit_release_retry_queue_test.ts
+++ b/test/core/admission/permit_release_retry_queue_test.ts
@@ -39,10 +39,10 @@
 
 test("releases to other owners are due meanwhile", () => {
   const queue = new PermitReleaseRetryQueue<string>();
-  queue.recordSend(createRelease("a", "deaf"), false, 0);
-  queue.recordSend(createRelease("b", "heard"), false, 0);
-  const release = queue.takeDue((id) => id === "heard", 600);
-  assert.equal(release, [createRelease("b", "heard")]);
+  queue.recordSend(createRelease("a", "dead"), false, 0);
+  queue.recordSend(createRelease("b", "alive"), false, 0);
+  const release = queue.takeDue((id) => id === "alive", 600);
+  assert.equal(release, [createRelease("b", "alive")]);
 });
 
 test.run();
--- a/test/core/placement/fetch_concurrency_limit_test.ts
+++ b/test/core/placement/fetch_concurrency_limit_test.ts
@@ -86,7 +86,7 @@
     host.engines.push(engine);
     return engine;
   });
-  const holders = Math.min(options.hosts, options.engines);
+  const owners = Math.min(options.hosts, options.engines);
   const isFullMesh = options.hosts <= 24;
   let loads: Load[] = [];
   let next = 0;
@@ -126,8 +126,8 @@
         ownFetches: own,
         peerFetches: isFullMesh ? others : undefined,
         engineShare: Math.max(1, host.engines.length) /
-          Math.max(options.engines, holders),
-        owners: holders,
+          Math.max(options.engines, owners),
+        owners,
       });
       if (slots.countLoading() >= MAX_LOADING || !share.canFetch) continue;
       next += 1;
--- a/test/core/placement/upstream_ranking_test.ts
+++ b/test/core/placement/upstream_ranking_test.ts
@@ -182,20 +182,20 @@
 });
 
 test("local upstreams come first until their load is higher by a quarter", () => {
-  const near = createUpstream("near", "a");
-  const far = createUpstream("far", "b");
+  const local = createUpstream("local", "a");
+  const remote = createUpstream("remote", "b");
   const rank = (ownRunning: number) =>
-    rankServiceUpstreams([far, near], {
+    rankServiceUpstreams([remote, local], {
       failureDomain: "a",
       health: new UpstreamHealth(),
       getLoad: (id) =>
-        id === "near"
+        id === "local"
           ? { ownRunning, reportedRunning: 0, reportedAt: 0 }
           : undefined,
       tieBreakKey: "r",
     }, 0)[0]?.id;
-  assert.is(rank(1), "near");
-  assert.is(rank(2), "far");
+  assert.is(rank(1), "local");
+  assert.is(rank(2), "remote");
 });
 
 test.run();
