--- a/src/core/fleet/fleet_view.ts
+++ b/src/core/fleet/fleet_view.ts
@@ -1,14 +1,15 @@
 /**
- * Which daemons there are and which of them live, learnt from heartbeats: each
- * daemon sends one a period to some others, with a sample of the members it knows
- * and the number of each one's last heartbeat. Nobody is asked whether it lives;
- * who has been silent for some periods is taken for dead until it is heard again.
- * In a large fleet, where a daemon hears few others itself, a higher number that
- * somebody names counts too.
+ * Tracks which daemons exist and which of them are alive, by their heartbeats:
+ * each daemon sends one per period to some of the others, with a sample of the
+ * members that it knows and the number of the last heartbeat of each. Members
+ * are not probed; one that has been silent for several periods is considered
+ * dead until it is heard again. In a large fleet, where a daemon hears few
+ * others directly, a higher heartbeat number from a third daemon counts too.
  *
- * The engines of a failure domain are held by a small group of its daemons
- * (holder_group.ts), whose members promise each other heartbeats at the pace of a
- * small fleet. So what depends on who holds an engine works alike at every size.
+ * The engines of a failure domain are owned by a small group of its daemons
+ * (owner_group.ts), whose members promise each other heartbeats at the rate of
+ * a small fleet. So everything that depends on the owner of an engine works
+ * alike at every fleet size.
  */
 import { rankByRendezvous } from "../hashing.ts";
 import type { OutcomeReport } from "../placement/upstream_health.ts";
@@ -25,75 +26,117 @@
   selectOwnerGroup,
 } from "./owner_group.ts";
 
-/** Period of heartbeats in a small fleet; a death is noticed within a few of them. */
+/**
+ * Heartbeat period in a small fleet; a death is detected within a few periods.
+ */
 const SMALL_INTERVAL_MS = 400;
-/** Period in a small fleet for a daemon that has just started, and that time: engines without a holder wait for its word. */
+/**
+ * Heartbeat period of a recently started daemon in a small fleet, and the time
+ * for which it applies: engines without an owner wait for its heartbeats.
+ */
 const STARTUP_INTERVAL_MS = 150;
 const STARTUP_MS = 3_000;
-/** Period in a large fleet, whose daemons have to keep to 3 KB a second for control. */
+/**
+ * Heartbeat period in a large fleet, whose daemons have to limit control
+ * traffic to 3 KB a second.
+ */
 const LARGE_INTERVAL_MS = 1_000;
-/** Time after the start in which a daemon of a large fleet makes itself known faster. */
+/**
+ * Time after the start for which a daemon of a large fleet sends heartbeats
+ * faster, to become known.
+ */
 const LARGE_STARTUP_MS = 5_000;
-/** Heartbeats that fail to come before a member is taken for dead. */
+/** Missed heartbeats after which a member is considered dead. */
 const MISSED_HEARTBEATS = 4;
-/** Fleet size up to which every daemon sends to every other one. */
+/** Fleet size up to which every daemon sends heartbeats to every other one. */
 const FULL_MESH_MEMBERS = 24;
-/** Time for which a group of holders is used again: members come and go in seconds. */
+/**
+ * Time for which an owner group is cached: members come and go within seconds.
+ */
 const GROUP_LIFETIME_MS = 1_000;
-/** Age up to which news of a member is passed on, so that a dead one is not kept alive by old news. */
+/**
+ * Maximum age of an update about a member that is passed on, so that old
+ * updates do not keep a dead member alive.
+ */
 const MAX_GOSSIP_AGE_MS = 4_000;
-/** Members of its failure domain of which a daemon of a large fleet surely has news in a period: a quarter of those that are named to it. */
+/**
+ * Members of its failure domain about which a daemon of a large fleet is sure
+ * to receive an update in a period: a quarter of those that are listed to it.
+ */
 const LOCAL_UPDATES = 10;
-/** Time for which the word of others does not revive a member that did not answer this daemon. */
+/**
+ * Time for which gossip does not mark a member alive that did not answer this
+ * daemon.
+ */
 const IGNORE_GOSSIP_MS = 3_000;
-/** Silence after which a member is no longer sent anything. */
+/** Silence after which a member is no longer sent heartbeats. */
 const FORGET_MS = 60_000;
 
-/** Time from its start for which a daemon can say that it never held an engine: a restart of the whole fleet takes some seconds. */
+/**
+ * Time after its start for which a daemon can report that it never owned an
+ * engine: a restart of the whole fleet takes several seconds.
+ */
 export const RECENTLY_STARTED_MS = 15_000;
-/** Peers that must say so before an engine is taken for unheld: a lone one can't tell who else lives. */
+/**
+ * Minimum number of peers that must report this before an engine counts as
+ * unowned: a single peer cannot tell who else is alive.
+ */
 const MIN_UNOWNED_PEERS = 2;
-/** Longest time that a heartbeat is taken to be on its way. */
+/** Maximum time that a heartbeat is assumed to take on the network. */
 const MAX_HEARTBEAT_DELAY_MS = 300;
 
-/** Daemons that are taken to claim an engine at the same time at most. */
+/**
+ * Maximum number of daemons that are assumed to claim an engine at the same
+ * time.
+ */
 const MAX_CLAIMANTS = 3;
 
-/** Key by which the reader of the store is drawn. */
+/** Rendezvous hashing key that selects the reader of the store. */
 const READER_KEY = "store reader";
 
-/** Time for which a look through the members is used again. */
+/** Time for which a snapshot of the members is reused. */
 const SNAPSHOT_LIFETIME_MS = 100;
 
 interface Snapshot {
   createdAt: Milliseconds;
-  /** Loads from the weight store on their way, at the living members. */
+  /** Fetches (loads from the weight store) in progress at the alive members. */
   fetchesInFlight: number;
-  /** Living members. */
+  /** Number of alive members. */
   aliveCount: number;
-  /** Those of them that are not leaving. */
+  /** Alive members that are not leaving. */
   notLeaving: FleetMember[];
-  /** Holder of each engine that one of them holds. */
+  /** Owner of each engine that one of these members owns. */
   owners: Map<string, string>;
-  /** Ranking of the holders to be, this daemon included, of engines asked for. */
+  /**
+   * Ranking of the possible owners, including this daemon, for each engine that
+   * was asked for.
+   */
   rankings: Map<string, FleetMember[]>;
 }
 
 interface KnownMember {
   member: FleetMember;
   heartbeat: Heartbeat | undefined;
-  /** Highest number of its heartbeats that is known. */
+  /** Highest known number of its heartbeats. */
   beat: number;
   lastHeardAt: Milliseconds;
-  /** When its own heartbeat came last. */
+  /** When its own heartbeat last arrived. */
   lastHeartbeatAt: Milliseconds;
-  /** Time within which it promised the next one; undefined without a promise that is kept. */
+  /**
+   * Time within which it promised the next heartbeat; undefined if it made no
+   * promise or does not keep it.
+   */
   promisedMs: Milliseconds | undefined;
-  /** Whether it did not answer this daemon, or this one stood still, since it was heard. */
+  /**
+   * Whether, since it was last heard, it did not answer this daemon or this
+   * process was suspended.
+   */
   isUnreachable: boolean;
-  /** Until when only the member itself is believed. */
+  /**
+   * Time until which only heartbeats of the member itself count, not gossip.
+   */
   ignoreGossipUntil: Milliseconds;
-  /** When it was first named to this daemon. */
+  /** When this daemon first learned of it. */
   firstSeenAt: Milliseconds;
 }
 
@@ -106,17 +149,20 @@
   readonly #fanout: HeartbeatFanout;
   readonly #groups = new Map<
     string,
-    { madeAt: Milliseconds; members: FleetMember[] }
+    { createdAt: Milliseconds; members: FleetMember[] }
   >();
 
-  /** @param firstBeat number of the first heartbeat; above those of earlier starts, as the wall clock is. */
+  /**
+   * @param firstBeat number of the first heartbeat; must exceed the numbers
+   * used before a restart, as the wall clock does.
+   */
   constructor(self: FleetMember, firstBeat = 0) {
     this.#self = self;
     this.#firstBeat = firstBeat;
     this.#fanout = new HeartbeatFanout(self);
   }
 
-  /** Number of the heartbeat that is due. */
+  /** Number of the heartbeat of the current period. */
   get beat(): number {
     return this.#firstBeat + this.#fanout.round;
   }
@@ -125,22 +171,28 @@
     return this.#self;
   }
 
-  /** Number of daemons that live as far as is known, this one included. */
+  /**
+   * Returns the number of daemons that are known to be alive, including this
+   * one.
+   */
   countAlive(now: Milliseconds): number {
     return 1 + this.#getSnapshot(now).aliveCount;
   }
 
-  /** The same within a failure domain; at least one. */
+  /**
+   * Returns the number of alive daemons in a failure domain that are not
+   * leaving; at least 1.
+   */
   countAliveIn(failureDomain: string, now: Milliseconds): number {
-    const { notLeaving: staying } = this.#getSnapshot(now);
-    const peers = staying.filter((member) =>
+    const { notLeaving } = this.#getSnapshot(now);
+    const peers = notLeaving.filter((member) =>
       member.failureDomain === failureDomain
     );
     const own = failureDomain === this.#self.failureDomain ? 1 : 0;
     return Math.max(1, peers.length + own);
   }
 
-  /** Returns whether a peer in the failure domain lives as far as is known. */
+  /** Returns whether a peer in the failure domain is known to be alive. */
   hasAlivePeer(failureDomain: string, now: Milliseconds): boolean {
     return this.listAlive(now).some(({ sender }) =>
       sender.failureDomain === failureDomain
@@ -149,8 +201,8 @@
 
   /**
    * Returns whether this daemon itself hears more than half of the daemons that
-   * might order the engines of a failure domain: of all in a small fleet, of those
-   * that hold the engines there in a large one. Others' word does not count.
+   * may own the engines of a failure domain: of all daemons in a small fleet,
+   * of the domain's owner group in a large one. Gossip does not count.
    */
   hasQuorum(failureDomain: string, now: Milliseconds): boolean {
     if (this.isFullMesh()) {
@@ -165,14 +217,20 @@
     return 2 * heard.length > group.length;
   }
 
-  /** Returns whether the member's own heartbeat came within the time in which group members send theirs. */
+  /**
+   * Returns whether the member's own heartbeat arrived within the time in which
+   * group members send theirs.
+   */
   #hasFreshHeartbeat(id: string, now: Milliseconds): boolean {
     const known = this.#members.get(id);
     return known !== undefined && !known.isUnreachable &&
       now - known.lastHeartbeatAt < MISSED_HEARTBEATS * SMALL_INTERVAL_MS;
   }
 
-  /** Returns whether the fleet is so small that every daemon hears every other one. */
+  /**
+   * Returns whether the fleet is small enough for every daemon to hear every
+   * other one.
+   */
   isFullMesh(): boolean {
     return this.#members.size < FULL_MESH_MEMBERS;
   }
@@ -199,11 +257,14 @@
       firstSeenAt: known?.firstSeenAt ?? now,
     });
     if (!known) this.#groups.delete(heartbeat.sender.failureDomain);
-    for (const named of heartbeat.sample) this.#recordGossip(named, now);
+    for (const entry of heartbeat.sample) this.#recordGossip(entry, now);
     return isNew;
   }
 
-  /** Takes a member for dead that did not acknowledge a message, until it is heard again. */
+  /**
+   * Considers a member dead that did not acknowledge a message, until it is
+   * heard again.
+   */
   markUnreachable(id: string, now: Milliseconds): void {
     const known = this.#members.get(id);
     if (!known) return;
@@ -212,7 +273,7 @@
     this.#expireSnapshot();
   }
 
-  /** Returns the members that get a heartbeat in this period. */
+  /** Returns the members that receive a heartbeat in this period. */
   selectTargets(now: Milliseconds): HeartbeatTarget[] {
     const members = this.#listRemembered(now).map((each) => each.member);
     if (this.isFullMesh()) {
@@ -224,8 +285,9 @@
   }
 
   /**
-   * Returns some members to name in a heartbeat, others each period; old news is
-   * not passed on, and few go to those who get many heartbeats.
+   * Returns a sample of the members to list in a heartbeat, which differs from
+   * period to period. In a large fleet, members without a recent update are
+   * left out, and receivers of frequent heartbeats get a smaller sample.
    */
   selectSample(isPromised: boolean, now: Milliseconds): GossipEntry[] {
     const known = this.#listKnown();
@@ -240,77 +302,82 @@
     return id === this.#self.id ? this.#self : this.#members.get(id)?.member;
   }
 
-  /** Returns whether the member lives as far as is known. */
+  /** Returns whether the member is known to be alive. */
   isAlive(id: string, now: Milliseconds): boolean {
     if (id === this.#self.id) return true;
     const known = this.#members.get(id);
     return known !== undefined && this.#isAlive(known, now);
   }
 
-  /** Returns the living peers' last heartbeats. */
+  /** Returns the last heartbeats of the alive peers. */
   listAlive(now: Milliseconds): Heartbeat[] {
     return this.#listKnown()
       .filter((each) => this.#isAlive(each, now))
       .flatMap((each) => each.heartbeat ?? []);
   }
 
-  /** Returns the engines that living daemons say they hold, with the daemon. */
+  /** Returns the owner of each engine that an alive peer reports to own. */
   listOwners(now: Milliseconds): ReadonlyMap<string, string> {
     return this.#getSnapshot(now).owners;
   }
 
-  /** Returns the living daemon that says it holds the engine, or undefined. */
+  /** Returns the alive peer that reports to own the engine, or undefined. */
   findOwner(engineId: string, now: Milliseconds): string | undefined {
     return this.#getSnapshot(now).owners.get(engineId);
   }
 
   /**
-   * Returns the daemons that should order an engine, best first: those that hold
-   * the engines of its failure domain, others there where none of these lives, or
-   * all where nobody there does.
-   * @param isStopping whether this daemon itself is no candidate.
+   * Returns the daemons that should own an engine, most preferred first: the
+   * owner group of its failure domain, other daemons there if no member of the
+   * group is alive, or all daemons if none there is alive.
+   * @param isStopping whether this daemon is stopping and therefore no
+   * candidate.
    */
   rankOwners(
     engine: { id: string; failureDomain: string },
     isStopping: boolean,
     now: Milliseconds,
   ): FleetMember[] {
-    const { notLeaving: staying, rankings: ranked } = this.#getSnapshot(now);
-    if (isStopping) return this.#rankCandidates(engine, staying, now);
-    const known = ranked.get(engine.id);
+    const { notLeaving, rankings } = this.#getSnapshot(now);
+    if (isStopping) return this.#rankCandidates(engine, notLeaving, now);
+    const known = rankings.get(engine.id);
     if (known) return known;
-    const candidates = [...staying, this.#self];
+    const candidates = [...notLeaving, this.#self];
     const ranking = this.#rankCandidates(engine, candidates, now);
-    ranked.set(engine.id, ranking);
+    rankings.set(engine.id, ranking);
     return ranking;
   }
 
   #rankCandidates(
     engine: { id: string; failureDomain: string },
-    living: readonly FleetMember[],
+    candidates: readonly FleetMember[],
     now: Milliseconds,
   ): FleetMember[] {
     const group = this.#getGroup(engine.failureDomain, now);
-    const holders = living.filter((member) => hasMember(group, member));
-    if (holders.length > 0) return rankByRendezvous(engine.id, holders);
-    const near = living.filter((member) =>
+    const members = candidates.filter((member) => hasMember(group, member));
+    if (members.length > 0) return rankByRendezvous(engine.id, members);
+    const local = candidates.filter((member) =>
       member.failureDomain === engine.failureDomain
     );
-    const next = selectOwnerGroup(engine.failureDomain, near);
-    return rankByRendezvous(engine.id, next.length > 0 ? next : living);
+    const nextGroup = selectOwnerGroup(engine.failureDomain, local);
+    return rankByRendezvous(
+      engine.id,
+      nextGroup.length > 0 ? nextGroup : candidates,
+    );
   }
 
   /**
-   * Returns whether every peer that may have ordered an engine has said, in a
-   * heartbeat sent after the given time, that it has started lately and has never
-   * held the engine since: so that nobody who lives can have ordered it. In a small
-   * fleet that is everybody, in a large one the group of holders of the engine's
-   * failure domain, this daemon among them. All seeds must be known by now: who
-   * has just started and is cut off knows only some of the others.
+   * Returns whether every peer that may have ordered an engine has reported, in
+   * a heartbeat sent after the given time, that it has recently started and has
+   * never owned the engine since, so that no alive daemon can have ordered it.
+   * In a small fleet these are all peers, in a large one the owner group of the
+   * engine's failure domain, which must include this daemon. All seeds must be
+   * known: a daemon that has recently started behind a network partition knows
+   * only some of the others.
    */
   isUnowned(
     engine: { id: string; failureDomain: string },
-    heard: { since: Milliseconds; seedIps: readonly string[] },
+    requirements: { since: Milliseconds; seedIps: readonly string[] },
     now: Milliseconds,
   ): boolean {
     const known = this.#listRemembered(now);
@@ -320,15 +387,18 @@
       : this.#listGroupPeers(engine.failureDomain, now);
     return peers !== undefined && peers.length >= MIN_UNOWNED_PEERS &&
       this.findOwner(engine.id, now) === undefined &&
-      heard.seedIps.every((ip) => ip === this.#self.ip || ips.has(ip)) &&
+      requirements.seedIps.every((ip) => ip === this.#self.ip || ips.has(ip)) &&
       peers.every((each) =>
         this.#isAlive(each, now) &&
-        each.lastHeartbeatAt >= heard.since + MAX_HEARTBEAT_DELAY_MS &&
+        each.lastHeartbeatAt >= requirements.since + MAX_HEARTBEAT_DELAY_MS &&
         hasNeverOwned(each.heartbeat, engine.id)
       );
   }
 
-  /** Returns the other members of a whole group that this daemon is in; undefined where it is in none. */
+  /**
+   * Returns the other members of the owner group; undefined if the group is not
+   * full or does not include this daemon.
+   */
   #listGroupPeers(
     failureDomain: string,
     now: Milliseconds,
@@ -340,26 +410,32 @@
     return group.flatMap(({ id }) => this.#members.get(id) ?? []);
   }
 
-  /** Returns how many loads from the weight store the living peers have on the way. */
+  /** Returns how many fetches the alive peers have in progress. */
   countFetches(now: Milliseconds): number {
     return this.#getSnapshot(now).fetchesInFlight;
   }
 
-  /** Returns what each living peer has seen of upstreams that fail requests. */
+  /**
+   * Returns the outcomes that each alive peer has seen at upstreams that fail
+   * requests.
+   */
   listFailing(now: Milliseconds): OutcomeReport[][] {
     return this.listAlive(now)
       .flatMap(({ failing }) => failing ? [failing] : []);
   }
 
-  /** Returns how many loads the living peers have found to go at full speed together. */
+  /**
+   * Returns how many fetches the weight store serves at full speed at once, as
+   * measured by each alive peer.
+   */
   listFullSpeedFetches(now: Milliseconds): number[] {
     return this.listAlive(now)
       .flatMap((heartbeat) => heartbeat.fullSpeedFetches ?? []);
   }
 
   /**
-   * Returns the daemons that come first for an engine's orders, living or not: so
-   * daemons that disagree on who lives still agree on who is who.
+   * Returns the daemons that rank first for an engine, alive or not, so that
+   * daemons that disagree about who is alive still agree on the claimants.
    */
   listClaimants(
     engine: { id: string; failureDomain: string },
@@ -375,7 +451,7 @@
 
   /**
    * Returns whether this daemon should read the store for its failure domain:
-   * one of those that can does, the others ask it.
+   * one of the daemons that can read it does, and the others ask that one.
    */
   isStoreReader(canRead: boolean, now: Milliseconds): boolean {
     if (!canRead) return false;
@@ -387,21 +463,21 @@
       .map((heartbeat) => heartbeat.sender);
     const group = this.#getGroup(this.#self.failureDomain, now);
     const readers = [...candidates, this.#self];
-    const holders = readers.filter((member) => hasMember(group, member));
-    const ranked = rankByRendezvous(
+    const members = readers.filter((member) => hasMember(group, member));
+    const ranking = rankByRendezvous(
       READER_KEY,
-      holders.length > 0 ? holders : readers,
+      members.length > 0 ? members : readers,
     );
-    return ranked[0]?.id === this.#self.id;
+    return ranking[0]?.id === this.#self.id;
   }
 
-  /** Looks through the members once for many questions. */
+  /** Returns a snapshot of the members, which is shared by many queries. */
   #getSnapshot(now: Milliseconds): Snapshot {
     const previous = this.#snapshot;
     const isFresh = previous !== undefined && now >= previous.createdAt &&
       now - previous.createdAt < SNAPSHOT_LIFETIME_MS;
     if (isFresh) return previous;
-    const survey: Snapshot = {
+    const snapshot: Snapshot = {
       createdAt: now,
       aliveCount: 0,
       fetchesInFlight: 0,
@@ -412,36 +488,43 @@
     for (const known of this.#members.values()) {
       const { member, heartbeat } = known;
       if (!this.#isAlive(known, now)) continue;
-      survey.aliveCount += 1;
-      survey.fetchesInFlight += heartbeat?.fetchesInFlight ?? 0;
+      snapshot.aliveCount += 1;
+      snapshot.fetchesInFlight += heartbeat?.fetchesInFlight ?? 0;
       if (heartbeat?.isLeaving) continue;
-      survey.notLeaving.push(member);
+      snapshot.notLeaving.push(member);
       for (const engineId of heartbeat?.heldEngines ?? []) {
-        if (survey.owners.has(engineId)) continue;
-        survey.owners.set(engineId, member.id);
+        if (snapshot.owners.has(engineId)) continue;
+        snapshot.owners.set(engineId, member.id);
       }
     }
-    // Rankings cost a hash a member and engine, and hold while nobody comes or goes.
-    if (previous && hasSameMembers(previous.notLeaving, survey.notLeaving)) {
-      survey.rankings = previous.rankings;
+    // A ranking costs one hash per member and engine, and remains valid while
+    // no member joins or leaves.
+    if (previous && hasSameMembers(previous.notLeaving, snapshot.notLeaving)) {
+      snapshot.rankings = previous.rankings;
     }
-    this.#snapshot = survey;
-    return survey;
+    this.#snapshot = snapshot;
+    return snapshot;
   }
 
-  /** Has the members looked through again; their rankings may still hold. */
+  /**
+   * Makes the next query take a new snapshot; the cached rankings may remain
+   * valid.
+   */
   #expireSnapshot(): void {
     if (this.#snapshot) this.#snapshot.createdAt = Number.NEGATIVE_INFINITY;
   }
 
-  /** Takes every peer for silent, after a pause of this process. */
+  /**
+   * Considers every peer dead until it is heard again, after this process was
+   * suspended.
+   */
   markAllUnreachable(): void {
     for (const known of this.#members.values()) known.isUnreachable = true;
     this.#expireSnapshot();
   }
 
-  #recordGossip(named: GossipEntry, now: Milliseconds): void {
-    const [id, ip, failureDomain, beat] = named;
+  #recordGossip(entry: GossipEntry, now: Milliseconds): void {
+    const [id, ip, failureDomain, beat] = entry;
     if (id === this.#self.id) return;
     const known = this.#members.get(id);
     if (!known) {
@@ -461,14 +544,15 @@
       this.#groups.delete(failureDomain);
       return;
     }
-    const isNews = beat > known.beat && !this.isFullMesh() &&
+    const isNewer = beat > known.beat && !this.isFullMesh() &&
       now >= known.ignoreGossipUntil;
-    if (!isNews) return;
+    if (!isNewer) return;
     if (!this.#isAlive(known, now)) this.#expireSnapshot();
     known.beat = beat;
     known.lastHeardAt = now;
     known.isUnreachable = false;
-    // It lives and sends this daemon no more: it takes others for its group.
+    // It is alive and no longer sends to this daemon: it considers other
+    // daemons its owner group.
     if (hasMissedPromise(known, now)) known.promisedMs = undefined;
   }
 
@@ -476,11 +560,11 @@
     return member.failureDomain === this.#self.failureDomain;
   }
 
-  /** Returns the daemons that hold the engines of a failure domain, living or not. */
+  /** Returns the owner group of a failure domain, with dead members. */
   #getGroup(failureDomain: string, now: Milliseconds): FleetMember[] {
     const known = this.#groups.get(failureDomain);
-    const isFresh = known !== undefined && now >= known.madeAt &&
-      now - known.madeAt < GROUP_LIFETIME_MS;
+    const isFresh = known !== undefined && now >= known.createdAt &&
+      now - known.createdAt < GROUP_LIFETIME_MS;
     if (isFresh) return known.members;
     const remembered = this.#listRemembered(now).map((each) => each.member);
     const members = selectOwnerGroup(
@@ -489,7 +573,7 @@
         member.failureDomain === failureDomain
       ),
     );
-    this.#groups.set(failureDomain, { madeAt: now, members });
+    this.#groups.set(failureDomain, { createdAt: now, members });
     return members;
   }
 
@@ -501,25 +585,31 @@
   getIntervalMs(uptimeMs: Milliseconds, now: Milliseconds): Milliseconds {
     const isStarting = uptimeMs < STARTUP_MS && this.isFullMesh();
     if (isStarting) return STARTUP_INTERVAL_MS;
-    const isOften = this.isFullMesh() || uptimeMs < LARGE_STARTUP_MS ||
+    const isFrequent = this.isFullMesh() || uptimeMs < LARGE_STARTUP_MS ||
       this.#isMemberOf(this.#getGroup(this.#self.failureDomain, now));
-    return isOften ? SMALL_INTERVAL_MS : LARGE_INTERVAL_MS;
+    return isFrequent ? SMALL_INTERVAL_MS : LARGE_INTERVAL_MS;
   }
 
-  /** Returns the promise that goes with a heartbeat to a target. */
+  /**
+   * Returns the time within which the next heartbeat is promised to a target;
+   * undefined without a promise.
+   */
   getPromisedMs(isPromised: boolean): Milliseconds | undefined {
     return isPromised ? SMALL_INTERVAL_MS : undefined;
   }
 
-  /** In a large fleet there is news of a member only now and then, unless it promised more. */
+  /**
+   * In a large fleet, updates about a member are infrequent unless it promised
+   * more.
+   */
   #isAlive(known: KnownMember, now: Milliseconds): boolean {
     if (known.isUnreachable) return false;
     if (known.heartbeat === undefined && this.isFullMesh()) return false;
-    const silenceMs = MISSED_HEARTBEATS * this.#getUpdateIntervalMs(known);
-    return now - known.lastHeardAt < silenceMs;
+    const timeoutMs = MISSED_HEARTBEATS * this.#getUpdateIntervalMs(known);
+    return now - known.lastHeardAt < timeoutMs;
   }
 
-  /** Returns the time within which there is news of a member. */
+  /** Returns the time within which an update about a member arrives. */
   #getUpdateIntervalMs(known: KnownMember): Milliseconds {
     if (this.isFullMesh()) return SMALL_INTERVAL_MS;
     if (known.promisedMs !== undefined) return known.promisedMs;
@@ -531,7 +621,7 @@
     return LARGE_INTERVAL_MS * periods;
   }
 
-  /** Returns the members that were heard or named lately. */
+  /** Returns the members that were heard or first learned of recently. */
   #listRemembered(now: Milliseconds): KnownMember[] {
     return this.#listKnown().filter((each) =>
       now - Math.max(each.lastHeardAt, each.firstSeenAt) < FORGET_MS
@@ -560,7 +650,7 @@
     before.every((member, index) => member.id === after[index]?.id);
 }
 
-/** Returns whether two promised heartbeats have failed to come. */
+/** Returns whether two promised heartbeats have been missed. */
 function hasMissedPromise(known: KnownMember, now: Milliseconds): boolean {
   return known.promisedMs !== undefined &&
     now - known.lastHeartbeatAt > 2 * known.promisedMs;
--- a/src/core/fleet/heartbeat.ts
+++ b/src/core/fleet/heartbeat.ts
@@ -1,8 +1,11 @@
-/** What daemons of a fleet tell each other of themselves, and of others. */
+/**
+ * Heartbeats: what the daemons of a fleet tell each other about themselves and
+ * about other members.
+ */
 import type { OutcomeReport } from "../placement/upstream_health.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** A daemon as its peers know it. */
+/** A daemon as known to its peers. */
 export interface FleetMember {
   id: string;
   /** IP address; every daemon listens on the same peer port. */
@@ -10,7 +13,10 @@
   failureDomain: string;
 }
 
-/** A member as a heartbeat names it, and the highest number of its heartbeats that the sender knows. */
+/**
+ * Entry of a heartbeat about another member, with the highest number of that
+ * member's heartbeats that the sender knows.
+ */
 export type GossipEntry = [
   id: string,
   ip: string,
@@ -18,34 +24,49 @@
   beat: number,
 ];
 
-/** What a heartbeat says of its sender. */
+/** A heartbeat, with the state of its sender. */
 export interface Heartbeat {
   sender: FleetMember;
-  /** Differs in each start of the process. */
+  /** Differs for each start of the process. */
   incarnation: string;
-  /** Rises with each heartbeat, also over restarts. */
+  /** Heartbeat number; increases with each heartbeat, also across restarts. */
   beat: number;
   isLeaving: boolean;
-  /** Time within which the sender sends the receiver the next one; absent without a promise. */
+  /**
+   * Time within which the sender promises the next heartbeat to the receiver;
+   * absent without a promise.
+   */
   promisedMs?: Milliseconds;
-  /** Whether the sender's own watches on the store are answered. */
+  /** Whether the store answers the sender's own watches. */
   hasStore: boolean;
-  /** Store revision up to which the sender knows each prefix. */
+  /** Store revision up to which the sender has read each prefix. */
   revisions: { configuration: number; upstreams: number };
-  /** Engines whose orders the sender gives. */
+  /** Engines that the sender owns. */
   heldEngines: string[];
-  /** Engines that the sender held before, in the first seconds after its start; later absent. */
+  /**
+   * Engines that the sender has owned since its start; absent once the start
+   * was long ago.
+   */
   newcomerHeld?: string[];
-  /** Loads from the weight store that the sender has on the way. */
+  /** Fetches (loads from the weight store) that the sender has in progress. */
   fetchesInFlight: number;
-  /** How many of these go at full speed together, as the sender has found; absent before it has loaded any. */
+  /**
+   * How many fetches the weight store serves at full speed at once, as measured
+   * by the sender; absent before its first fetch.
+   */
   fullSpeedFetches?: number | undefined;
-  /** What the sender has seen of upstreams that fail requests; absent where there is none. */
+  /**
+   * Outcomes that the sender has seen at upstreams that fail requests; absent
+   * if there are none.
+   */
   failing?: OutcomeReport[] | undefined;
   /** Highest time of the sender's fence clock. */
   fenceUnixMs: number;
-  /** Some of the members that the sender knows. */
+  /** Sample of the members that the sender knows. */
   sample: GossipEntry[];
-  /** Fingerprints of requests that crashed upstreams, with their count. */
+  /**
+   * Fingerprints of requests that crashed upstreams, with the number of
+   * crashes.
+   */
   strikes: { fingerprint: string; strikes: number }[];
 }
--- a/src/core/fleet/heartbeat_fanout.ts
+++ b/src/core/fleet/heartbeat_fanout.ts
@@ -1,34 +1,53 @@
 /**
- * To whom a daemon of a large fleet sends its heartbeats, and whom it names in
- * them: the group that holds engines with it in each period, others in turns, so
- * that what it sends does not grow with the fleet.
+ * Selects the daemons to which a daemon of a large fleet sends heartbeats, and
+ * the members that it lists in them: the other members of its owner group in
+ * each period, other daemons in rotation, so that the traffic of a daemon does
+ * not grow with the fleet.
  */
 import { rankByRendezvous } from "../hashing.ts";
 import type { FleetMember, GossipEntry } from "./heartbeat.ts";
 import { hasMember } from "./owner_group.ts";
 
-/** Other daemons of the own failure domain that get a heartbeat in a period, beyond that size. */
+/**
+ * Daemons of the own failure domain outside the owner group that receive a
+ * heartbeat in a period.
+ */
 const LOCAL_TARGETS = 5;
-/** Periods of a member of the group of holders, which are shorter, in one of which it sends to these. */
+/**
+ * A member of the owner group, whose periods are shorter, sends to daemons
+ * outside the group only once in this many periods.
+ */
 const GROUP_ROUNDS = 3;
-/** Daemons of other failure domains that get one. */
+/** Daemons of other failure domains that receive a heartbeat in a period. */
 export const REMOTE_TARGETS = 2;
-/** Members named in one heartbeat of a small fleet, or of one that does not know yet that it is large. */
+/**
+ * Members listed in a heartbeat of a small fleet, or of a large one that the
+ * sender does not know to be large yet.
+ */
 const SMALL_SAMPLE = 12;
-/** Members of the own failure domain, and of others, named in one of a large fleet: keeps it within one datagram. */
+/**
+ * Members of the own failure domain, and of others, listed in a heartbeat of a
+ * large fleet; keeps it within one datagram.
+ */
 const LOCAL_SAMPLE = 8;
 const REMOTE_SAMPLE = 4;
-/** Members named to those who were promised heartbeats, near and distant: they get them often. */
+/**
+ * Members of the own failure domain, and of others, listed for receivers with a
+ * promised heartbeat, which receive them often.
+ */
 const PROMISED_LOCAL_SAMPLE = 3;
 const PROMISED_REMOTE_SAMPLE = 1;
 
-/** A daemon that gets a heartbeat, and whether the next one is promised to it. */
+/**
+ * A daemon that receives a heartbeat, and whether the next one is promised to
+ * it.
+ */
 export interface HeartbeatTarget {
   member: FleetMember;
   isPromised: boolean;
 }
 
-/** A member and the highest number of its heartbeats that is known. */
+/** A member and the highest known number of its heartbeats. */
 interface NumberedMember {
   member: FleetMember;
   beat: number;
@@ -37,14 +56,17 @@
 export class HeartbeatFanout {
   readonly #self: FleetMember;
   #round = 0;
-  /** Times that daemons outside the group of holders were sent to. */
+  /**
+   * Number of periods in which daemons outside the owner group received
+   * heartbeats.
+   */
   #rotation = 0;
 
   constructor(self: FleetMember) {
     this.#self = self;
   }
 
-  /** Periods so far. */
+  /** Number of periods so far. */
   get round(): number {
     return this.#round;
   }
@@ -54,28 +76,28 @@
   }
 
   /**
-   * Returns the members that get a heartbeat in the next period.
-   * @param group those that hold the engines of this daemon's failure domain.
+   * Returns the members that receive a heartbeat in the next period.
+   * @param group owner group of this daemon's failure domain.
    */
   selectTargets(
     members: readonly FleetMember[],
     group: readonly FleetMember[],
   ): HeartbeatTarget[] {
     this.advanceRound();
-    const isHolder = hasMember(group, this.#self);
-    const mates = isHolder
+    const isGroupMember = hasMember(group, this.#self);
+    const groupPeers = isGroupMember
       ? group.filter((member) => member.id !== this.#self.id)
       : [];
-    const near = members.filter((member) =>
-      this.#isLocal(member) && !mates.includes(member)
+    const local = members.filter((member) =>
+      this.#isLocal(member) && !groupPeers.includes(member)
     );
-    const distant = members.filter((member) => !this.#isLocal(member));
-    const targets = mates.map((member) => ({ member, isPromised: true }));
-    if (isHolder && this.#round % GROUP_ROUNDS !== 0) return targets;
+    const remote = members.filter((member) => !this.#isLocal(member));
+    const targets = groupPeers.map((member) => ({ member, isPromised: true }));
+    if (isGroupMember && this.#round % GROUP_ROUNDS !== 0) return targets;
     this.#rotation += 1;
     const others = [
-      ...rotate(near, this.#rotation * LOCAL_TARGETS).slice(0, LOCAL_TARGETS),
-      ...rankByRendezvous(String(this.#round), distant)
+      ...rotate(local, this.#rotation * LOCAL_TARGETS).slice(0, LOCAL_TARGETS),
+      ...rankByRendezvous(String(this.#round), remote)
         .slice(0, REMOTE_TARGETS),
     ];
     return [
@@ -88,20 +110,23 @@
     return this.#drawSample(known, SMALL_SAMPLE);
   }
 
-  /** Returns some of the members to name, fewer where the next heartbeat is promised soon. */
+  /**
+   * Returns a sample of the members to list, smaller if the next heartbeat is
+   * promised soon.
+   */
   selectSample(
     known: readonly NumberedMember[],
     isPromised: boolean,
   ): GossipEntry[] {
-    const near = known.filter((each) => this.#isLocal(each.member));
-    const distant = known.filter((each) => !this.#isLocal(each.member));
+    const local = known.filter((each) => this.#isLocal(each.member));
+    const remote = known.filter((each) => !this.#isLocal(each.member));
     return [
       ...this.#drawSample(
-        near,
+        local,
         isPromised ? PROMISED_LOCAL_SAMPLE : LOCAL_SAMPLE,
       ),
       ...this.#drawSample(
-        distant,
+        remote,
         isPromised ? PROMISED_REMOTE_SAMPLE : REMOTE_SAMPLE,
       ),
     ];
@@ -110,10 +135,10 @@
   #drawSample(known: readonly NumberedMember[], size: number): GossipEntry[] {
     const candidates = known.map(({ member, beat }) => ({
       id: member.id,
-      named: [member.id, member.ip, member.failureDomain, beat] as GossipEntry,
+      entry: [member.id, member.ip, member.failureDomain, beat] as GossipEntry,
     }));
     return rankByRendezvous(`${this.#self.id} ${this.#round}`, candidates)
-      .slice(0, size).map((each) => each.named);
+      .slice(0, size).map((each) => each.entry);
   }
 
   #isLocal(member: FleetMember): boolean {
--- a/src/core/fleet/owner_group.ts
+++ b/src/core/fleet/owner_group.ts
@@ -1,15 +1,19 @@
 /**
- * The daemons that hold the engines of one failure domain: the first few in a
- * ranking of all daemons there that are remembered, living or not. Dead ones keep
- * their places for a while, so that daemons which disagree on who lives still
- * agree on the group, and half of it can be told from a part of it behind a cut.
+ * The owner group of a failure domain: the daemons that own its engines, which
+ * are the first few in a ranking of all remembered daemons there, alive or not.
+ * Dead daemons keep their rank for a while. So daemons that disagree about who
+ * is alive still agree on the group, and a majority of the group can be told
+ * from a minority behind a network partition.
  */
 import { rankByRendezvous } from "../hashing.ts";
 
-/** Members of a group: more than half of them outlive the loss of any three, and each hears all others at a small cost. */
+/**
+ * Members of a group: more than half of them survive the loss of any three, and
+ * each hears all others at a low cost.
+ */
 export const OWNER_GROUP_SIZE = 8;
 
-/** Returns the group of a failure domain, given its daemons. */
+/** Returns the owner group of a failure domain, given its daemons. */
 export function selectOwnerGroup<Member extends { id: string }>(
   failureDomain: string,
   members: readonly Member[],
@@ -18,7 +22,7 @@
     .slice(0, OWNER_GROUP_SIZE);
 }
 
-/** Returns whether a group has the daemon in it, by its id. */
+/** Returns whether a group contains the daemon, compared by id. */
 export function hasMember(
   members: readonly { id: string }[],
   member: { id: string },
--- a/src/core/fleet/owner_hints.ts
+++ b/src/core/fleet/owner_hints.ts
@@ -1,10 +1,19 @@
-/** Holders of engines that other daemons named, believed until their own heartbeats must have come. */
+/**
+ * Hints of other daemons about the owners of engines, used until the owners'
+ * own heartbeats must have arrived.
+ */
 import type { Milliseconds } from "../structures.ts";
 
-/** Time for which a daemon's word is believed: a large fleet's heartbeats come each second, and through others later. */
+/**
+ * Lifetime of a hint: the heartbeats of a large fleet arrive every second, and
+ * later through other daemons.
+ */
 const HINT_LIFETIME_MS = 10_000;
 
-/** Time for which an engine that nobody held is not asked for again: as long as a holder's claim takes to be heard of. */
+/**
+ * Time for which an engine without an owner is not asked for again: as long as
+ * it takes to hear of a new owner's claim.
+ */
 const UNOWNED_LIFETIME_MS = 400;
 
 interface OwnerHint {
@@ -13,23 +22,23 @@
 }
 
 export class OwnerHints {
-  /** By engine, the latest told last. */
+  /** Hints by engine, in order of receipt. */
   readonly #hints = new Map<string, OwnerHint>();
-  /** Engines that nobody held, and when that was told. */
+  /** Engines without an owner, and when a daemon reported that. */
   readonly #unowned = new Map<string, Milliseconds>();
 
-  /** Number of engines of which something is believed or was lately. */
+  /** Number of engines with a hint, including hints that expired recently. */
   get size(): number {
     return this.#hints.size;
   }
 
-  /** Takes a daemon's word, and forgets what is believed no more. */
-  record(engineId: string, holderId: string, now: Milliseconds): void {
+  /** Records a hint and removes expired hints. */
+  record(engineId: string, ownerId: string, now: Milliseconds): void {
     this.#unowned.delete(engineId);
     this.#hints.delete(engineId);
-    this.#hints.set(engineId, { ownerId: holderId, receivedAt: now });
-    for (const [id, { receivedAt: toldAt }] of this.#hints) {
-      if (now - toldAt < HINT_LIFETIME_MS) return;
+    this.#hints.set(engineId, { ownerId, receivedAt: now });
+    for (const [id, { receivedAt }] of this.#hints) {
+      if (now - receivedAt < HINT_LIFETIME_MS) return;
       this.#hints.delete(id);
     }
   }
@@ -38,24 +47,30 @@
     this.#hints.delete(engineId);
   }
 
-  /** Notes that nobody holds the engine, as far as one knows that was asked. */
+  /**
+   * Records that the engine has no owner, as far as the daemon knows that was
+   * asked.
+   */
   recordUnowned(engineId: string, now: Milliseconds): void {
     this.#unowned.set(engineId, now);
   }
 
   isUnowned(engineId: string, now: Milliseconds): boolean {
-    const toldAt = this.#unowned.get(engineId);
-    if (toldAt === undefined) return false;
-    if (now - toldAt < UNOWNED_LIFETIME_MS) return true;
+    const receivedAt = this.#unowned.get(engineId);
+    if (receivedAt === undefined) return false;
+    if (now - receivedAt < UNOWNED_LIFETIME_MS) return true;
     this.#unowned.delete(engineId);
     return false;
   }
 
-  /** Returns the holder that was named; undefined when nobody has named one lately. */
+  /**
+   * Returns the owner according to the latest hint; undefined if there is none
+   * or it has expired.
+   */
   find(engineId: string, now: Milliseconds): string | undefined {
-    const told = this.#hints.get(engineId);
-    const isFresh = told !== undefined &&
-      now - told.receivedAt < HINT_LIFETIME_MS;
-    return isFresh ? told.ownerId : undefined;
+    const hint = this.#hints.get(engineId);
+    const isFresh = hint !== undefined &&
+      now - hint.receivedAt < HINT_LIFETIME_MS;
+    return isFresh ? hint.ownerId : undefined;
   }
 }
--- a/src/core/fleet/pause_detector.ts
+++ b/src/core/fleet/pause_detector.ts
@@ -1,12 +1,15 @@
 /**
- * Notices that this process or its host stood still. The monotonic clock may not
- * count a suspension, so the wall clock is compared with it: what was believed
- * by the monotonic clock is then older than it seems. A step of the wall clock
- * looks the same, and costs no more than beliefs that are checked anew.
+ * Detects that this process or its host was suspended. The monotonic clock may
+ * not count a suspension, so it is compared with the wall clock: what seems
+ * recent by the monotonic clock is then older than it seems. A step of the wall
+ * clock looks the same, but only causes state to be verified again.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** Lead of the wall clock from which a pause is assumed; clocks are slewed far less. */
+/**
+ * Lead of the wall clock from which a pause is assumed; clock slewing stays far
+ * below.
+ */
 const CLOCK_LEAD_MS = 400;
 
 export class PauseDetector {
@@ -18,7 +21,7 @@
     this.#lastUnixMs = unixMs;
   }
 
-  /** Returns whether the process has stood still since the last call. */
+  /** Returns whether the process was suspended since the last call. */
   hasPaused(now: Milliseconds, unixMs: number): boolean {
     const leadMs = (unixMs - this.#lastUnixMs) - (now - this.#lastAt);
     this.#lastAt = now;
--- a/src/core/ordering/engine_owner.ts
+++ b/src/core/ordering/engine_owner.ts
@@ -1,7 +1,8 @@
 /**
- * What one daemon does about one engine: seeks the right to order it where it
- * should hold it, keeps its desk while it does, and gives it up to another.
- * Events go in with the present time, effects come out.
+ * Manages one daemon's role for one engine: claims ownership where this daemon
+ * should have it, issues permits and orders loads and evictions while it does,
+ * and hands the engine over to another daemon. Takes events with the current
+ * time and returns effects.
  */
 import { BatchCapacity } from "../admission/batch_capacity.ts";
 import {
@@ -29,13 +30,15 @@
   OrderReport,
 } from "./ownership_state.ts";
 
-/** A report with what the engine holds. */
+/**
+ * An engine's report with the models and adapters that it has or is loading.
+ */
 export interface ContentsReport extends OrderReport {
   models: readonly string[];
   adapters: ReadonlyMap<string, { version: number; isLoading: boolean }>;
 }
 
-/** What a holder that stops tells the next one. */
+/** State that an owner passes to the next owner when it stops. */
 export interface OwnershipHandover {
   /** Time since the engine last accepted an order. */
   acceptedAgeMs: Milliseconds;
@@ -55,7 +58,11 @@
     expectedSequence: number;
   }
   | { kind: "answerPermit"; engineId: string; answer: PermitAnswer }
-  /** A change of what is believed of the engine, for the log; one that makes this daemon its holder is news for the peers. */
+  /**
+   * A change of ownership or of the known state of the engine, for the log;
+   * `isTakeover` if this daemon became the owner, which its peers have to
+   * learn.
+   */
   | {
     kind: "belief";
     engineId: string;
@@ -73,23 +80,29 @@
   drawFence: () => number;
 }
 
-/** What the daemon knows besides. */
+/** What the decisions about an engine depend on besides the engine itself. */
 export interface OwnershipContext extends ClaimConditions {
-  /** Whether this daemon should give the engine's orders. */
+  /** Whether this daemon should own the engine. */
   isDesiredOwner: boolean;
-  /** Whether it should observe the engine, as it may come to give its orders. */
+  /** Whether it should observe the engine, because it may become the owner. */
   isCandidate: boolean;
-  /** Daemons that may have runs at the engine, this one included; undefined where not all are known. */
+  /**
+   * Daemons that may have runs on the engine, including this one; undefined if
+   * not all are known.
+   */
   peers: readonly string[] | undefined;
-  /** Whether and beside how many others a load from the weight store may start. */
+  /**
+   * Whether a fetch (a load from the weight store) may start, and beside how
+   * many others.
+   */
   fetchShare: FetchShare;
 }
 
-/** Shortest time between two readings of one engine. */
+/** Minimum time between two reads of an engine's report. */
 const REPORT_INTERVAL_MS = 300;
-/** Age of the last accepted order beyond which it tells nothing. */
+/** Age of the last accepted order beyond which it proves nothing. */
 const MAX_ACCEPTED_AGE_MS = 3_600_000;
-/** Time after which a conflicting or failed order is tried again. */
+/** Delay before an order that conflicted or failed is retried. */
 const ORDER_RETRY_MS = 60;
 
 export class EngineOwner {
@@ -106,14 +119,23 @@
   #nextOrderAt = Number.NEGATIVE_INFINITY;
   #lastOrderAt = Number.NEGATIVE_INFINITY;
   #needsReconciliation = false;
-  /** Whether an order waits for a report that shows no restart. */
+  /**
+   * Whether the next order waits for a report which shows that the engine has
+   * not restarted.
+   */
   #isVerificationDue = false;
   #isDesiredOwner = false;
   #claimConditions: ClaimConditions = { hasQuorum: false, isUnowned: false };
-  /** Living peers, of which each tells a new holder of its runs; undefined in a large fleet. */
+  /**
+   * Alive daemons, each of which reports its runs to a new owner; undefined in
+   * a large fleet.
+   */
   #peers: readonly string[] | undefined;
   readonly #adoption = new RunAdoption();
-  /** Whether no more orders are given, before the engine is handed over. */
+  /**
+   * Whether no more orders are sent because the engine is about to be handed
+   * over.
+   */
   #hasStoppedOrders = false;
   readonly #models = new Set<string>();
   #limits: EngineLimits;
@@ -137,12 +159,15 @@
     return this.#ownership.isOwner();
   }
 
-  /** Returns when the report was read from which the engine is observed here. */
+  /**
+   * Returns when the report was read that started the observation; undefined if
+   * the engine is not being observed.
+   */
   get observedAt(): Milliseconds | undefined {
     return this.#ownership.observedAt;
   }
 
-  /** Returns the time until the engine may be claimed here. */
+  /** Returns the time until this daemon may claim the engine. */
   estimateClaimMs(now: Milliseconds): Milliseconds {
     return this.#ownership.estimateClaimMs(this.#claimConditions, now);
   }
@@ -153,12 +178,14 @@
     this.admission.batch.setLimits(limits);
   }
 
-  /** Counts loads from the weight store that are on their way. */
+  /**
+   * Counts the adapter loads in progress; 0 if this daemon is not the owner.
+   */
   countLoadsInFlight(): number {
     return this.isOwner() ? this.admission.slots.countLoading() : 0;
   }
 
-  /** Takes a request for a place in; only a daemon that holds the engine may. */
+  /** Requests a permit; only valid while this daemon is the owner. */
   requestPermit(
     request: PermitRequest,
     now: Milliseconds,
@@ -167,24 +194,30 @@
     return this.#takeAnswers();
   }
 
-  /** Counts runs that a daemon has here; nothing needs to be waited for once all have told of theirs. */
+  /**
+   * Counts the runs that a daemon reports on this engine. Once all daemons have
+   * reported theirs, evictions no longer have to wait.
+   */
   adoptRuns(
     from: string,
-    told: { runs: readonly AdoptedRun[]; total: number },
+    reported: { runs: readonly AdoptedRun[]; total: number },
     now: Milliseconds,
   ): void {
-    for (const run of told.runs) this.admission.adoptPermit(run, now);
-    this.#adoption.recordReported(from, told.runs.length, told.total);
+    for (const run of reported.runs) this.admission.adoptPermit(run, now);
+    this.#adoption.recordReported(from, reported.runs.length, reported.total);
     if (this.#adoption.isComplete()) this.admission.endAdoption(now);
   }
 
-  /** Notes that the engine did not run a permitted request. */
+  /** Records that the engine did not run a request that had a permit. */
   recordUnusable(
     unusable: {
       permitId: string;
       isMisdirected: boolean;
       delayMs: Milliseconds;
-      /** Daemon whose request it was, and the time for which the engine wants no other of it. */
+      /**
+       * Daemon that held the permit; the engine wants no other request from it
+       * for `backoffMs`.
+       */
       holder: string;
       backoffMs: Milliseconds;
     },
@@ -193,16 +226,23 @@
     const { permitId, isMisdirected, delayMs, holder, backoffMs } = unusable;
     if (backoffMs > 0) this.admission.recordBackoff(holder, backoffMs, now);
     const isLoadLate = this.admission.recordNotReady(permitId, delayMs, now);
-    // What should long be there is not: only the engine itself can tell.
+    // The adapter should have been loaded long ago: only the engine's own
+    // report can tell what it has.
     if (isMisdirected && !isLoadLate) this.#needsReconciliation = true;
   }
 
-  /** Notes that this process stood still for longer than its clock says. */
+  /**
+   * Records that this process was suspended for longer than its monotonic clock
+   * shows.
+   */
   recordPause(): void {
     this.#ownership.recordPause();
   }
 
-  /** Notes which start of the engine is registered: another one than is held holds nothing of before. */
+  /**
+   * Records the registered start time of the engine. If it is not the known
+   * one, the engine has restarted and lost its models and adapters.
+   */
   recordRegistration(bornAtUnixMs: number): void {
     const { state } = this.#ownership;
     if (state.kind !== "holding" || bornAtUnixMs === 0) return;
@@ -211,9 +251,9 @@
 
   recordReport(report: ContentsReport, now: Milliseconds): EngineOwnerEffect[] {
     this.#isReading = false;
-    const wasHolding = this.isOwner();
+    const wasOwner = this.isOwner();
     const settlement = this.#ownership.recordReport(report, now);
-    if (!wasHolding) {
+    if (!wasOwner) {
       this.#observedReport = report;
       return [];
     }
@@ -252,45 +292,48 @@
     answer: OrderAnswer,
     now: Milliseconds,
   ): EngineOwnerEffect[] {
-    const ordered = this.#pendingOrder;
-    if (!ordered) return [];
+    const pending = this.#pendingOrder;
+    if (!pending) return [];
     this.#pendingOrder = undefined;
-    const { evidence, sentAt } = ordered;
+    const { evidence, sentAt } = pending;
     const wasProven = this.#ownership.isExclusive(now);
     this.#ownership.recordOrderAnswer(answer, evidence, sentAt, now);
     if (!wasProven && this.#ownership.isExclusive(now)) {
       this.#planner.recordProof(now);
     }
     if (answer.kind === "accepted") {
-      this.#applyOrder(ordered.order, answer.isDraining ?? false, now);
+      this.#applyOrder(pending.order, answer.isDraining ?? false, now);
       return [];
     }
     this.#nextOrderAt = now + ORDER_RETRY_MS;
     if (answer.kind === "rejected") this.#needsReconciliation = true;
     return [this.#describeChange("orderNotAccepted", {
-      order: ordered.order,
+      order: pending.order,
       answer,
     })];
   }
 
-  /** Seeks or keeps the right to order, and gives the next order. */
-  tick(situation: OwnershipContext, now: Milliseconds): EngineOwnerEffect[] {
+  /** Claims or releases ownership where needed, and sends the next order. */
+  tick(context: OwnershipContext, now: Milliseconds): EngineOwnerEffect[] {
     const effects: EngineOwnerEffect[] = [];
-    this.#isDesiredOwner = situation.isDesiredOwner;
-    this.#peers = situation.peers;
-    this.#claimConditions = situation;
-    if (!situation.isDesiredOwner) effects.push(...this.#releaseOwnership(now));
-    if (situation.isDesiredOwner) effects.push(...this.#claim(situation, now));
+    this.#isDesiredOwner = context.isDesiredOwner;
+    this.#peers = context.peers;
+    this.#claimConditions = context;
+    if (!context.isDesiredOwner) effects.push(...this.#releaseOwnership(now));
+    if (context.isDesiredOwner) effects.push(...this.#claim(context, now));
     if (this.isOwner()) {
       this.admission.tick(now);
-      effects.push(...this.#giveNextOrder(situation, now));
+      effects.push(...this.#giveNextOrder(context, now));
       effects.push(...this.#takeAnswers());
     }
-    if (situation.isCandidate) effects.push(...this.#readIfNeeded(now));
+    if (context.isCandidate) effects.push(...this.#readIfNeeded(now));
     return effects;
   }
 
-  /** Returns when the holder has to look again, beside the regular ticks. */
+  /**
+   * Returns when the engine has to be processed again, apart from the regular
+   * ticks.
+   */
   getNextDueAt(): Milliseconds {
     if (!this.isOwner()) return Number.POSITIVE_INFINITY;
     const hasWork = this.admission.countWaiting() > 0;
@@ -298,13 +341,16 @@
     return Math.min(this.admission.getNextTickAt(), orderAt);
   }
 
-  /** Serves the queue and gives the next order, without waiting for the tick. */
+  /**
+   * Serves the queue and sends the next order, without waiting for the next
+   * tick.
+   */
   serveQueue(
-    situation: OwnershipContext,
+    context: OwnershipContext,
     now: Milliseconds,
   ): EngineOwnerEffect[] {
     if (!this.isOwner()) return [];
-    const effects = this.#giveNextOrder(situation, now);
+    const effects = this.#giveNextOrder(context, now);
     effects.push(...this.#readIfNeeded(now));
     return [...effects, ...this.#takeAnswers()];
   }
@@ -316,13 +362,16 @@
     return [{ kind: "readReport", engineId: this.engineId }];
   }
 
-  /** Gives no more orders; returns whether one is still under way. */
+  /** Stops sending orders; returns whether one is still in progress. */
   stopOrders(): boolean {
     this.#hasStoppedOrders = true;
     return this.isOwner() && this.#pendingOrder !== undefined;
   }
 
-  /** Returns what the next holder needs, and gives the engine up; undefined while an order is in doubt. */
+  /**
+   * Releases ownership and returns what the next owner needs; the handover is
+   * undefined while the outcome of an order is unknown.
+   */
   handOver(now: Milliseconds): {
     handover: OwnershipHandover | undefined;
     effects: EngineOwnerEffect[];
@@ -333,15 +382,16 @@
       ? {
         sequence: state.sequence,
         bornAtUnixMs: state.bornAtUnixMs,
-        // Longer ages say no more than this one, and infinity can't be sent.
+        // Longer ages prove no more than this one, and infinity cannot be
+        // encoded.
         acceptedAgeMs: Math.min(now - state.acceptedAt, MAX_ACCEPTED_AGE_MS),
         models: [...this.#models],
         adapters: this.admission.slots.listSlots().map((
-          place,
+          slot,
         ): OwnershipHandover["adapters"][number] => [
-          place.adapterPath,
-          place.version ?? 0,
-          place.state === "loading",
+          slot.adapterPath,
+          slot.version ?? 0,
+          slot.state === "loading",
         ]),
       }
       : undefined;
@@ -371,28 +421,31 @@
     }];
   }
 
-  /** Returns places and queue, for the operators and the log. */
+  /**
+   * Returns the ownership, the adapter slots and the queue, for operators and
+   * the log.
+   */
   describe(): object {
     return {
       tenure: this.#ownership.state,
-      places: this.admission.slots.listSlots().map((place) => ({
-        adapter: place.adapterPath,
-        version: place.version,
-        state: place.state,
-        permits: place.permitIds.size,
+      places: this.admission.slots.listSlots().map((slot) => ({
+        adapter: slot.adapterPath,
+        version: slot.version,
+        state: slot.state,
+        permits: slot.permitIds.size,
       })),
       waiting: this.admission.countWaiting(),
       running: this.admission.batch.countRunning(),
     };
   }
 
-  #claim(situation: OwnershipContext, now: Milliseconds): EngineOwnerEffect[] {
-    if (!this.#ownership.claim(situation, now)) return [];
+  #claim(context: OwnershipContext, now: Milliseconds): EngineOwnerEffect[] {
+    if (!this.#ownership.claim(context, now)) return [];
     this.#beginOwnership(now);
     this.admission.clearPermits();
-    const isUntouched = this.#ownership.getExpectedSequence(now) === 0;
-    const mayHaveRivals = !(isUntouched && situation.hasQuorum);
-    this.#planner.recordOwnership(mayHaveRivals, now);
+    const hasNoOrders = this.#ownership.getExpectedSequence(now) === 0;
+    const mayHaveOtherClaimants = !(hasNoOrders && context.hasQuorum);
+    this.#planner.recordOwnership(mayHaveOtherClaimants, now);
     if (this.#observedReport) this.#recordContents(this.#observedReport, now);
     const sequence = this.#ownership.getExpectedSequence(now);
     return [{
@@ -401,7 +454,10 @@
     }];
   }
 
-  /** Starts with an engine whose adapters are to be noted, and whose runs nobody has told yet. */
+  /**
+   * Resets the state for a newly owned engine, whose adapters are recorded next
+   * and whose runs no daemon has reported yet.
+   */
   #beginOwnership(now: Milliseconds): void {
     this.admission.slots.clear();
     this.admission.beginAdoption(now);
@@ -409,7 +465,7 @@
   }
 
   #giveNextOrder(
-    situation: OwnershipContext,
+    context: OwnershipContext,
     now: Milliseconds,
   ): EngineOwnerEffect[] {
     const expectedSequence = this.#ownership.getExpectedSequence(now);
@@ -417,11 +473,11 @@
       this.#hasStoppedOrders ||
       this.#needsReconciliation || now < this.#nextOrderAt;
     if (isBlocked) return [];
-    this.admission.slots.setFetchShare(situation.fetchShare);
+    this.admission.slots.setFetchShare(context.fetchShare);
     const wanted = this.#findMissingModel() ??
-      this.admission.findNextOrder(situation.fetchShare.canFetch, now);
+      this.admission.findNextOrder(context.fetchShare.canFetch, now);
     const planned = wanted &&
-      this.#planner.plan(wanted, situation.hasQuorum, now);
+      this.#planner.plan(wanted, context.hasQuorum, now);
     this.#isVerificationDue = planned !== undefined &&
       !this.#ownership.isVerified(planned.isContested, now);
     if (!planned || this.#isVerificationDue) return [];
@@ -433,19 +489,22 @@
       kind: "giveOrder",
       engineId: this.engineId,
       order,
-      // Drawn anew for each order, so that a later order has a higher number.
+      // Drawn for each order, so that a later order has a higher number.
       fence: this.#options.drawFence(),
       expectedSequence,
     }];
   }
 
-  /** Returns the load of a base model that the engine lacks and has room for. */
+  /**
+   * Returns a load order for a base model that the engine lacks and has memory
+   * for.
+   */
   #findMissingModel(): EngineOrder | undefined {
     const { models, weightsMb } = this.#limits;
-    const heldMb = models.filter((model) => this.#models.has(model.name))
+    const loadedMb = models.filter((model) => this.#models.has(model.name))
       .reduce((sum, model) => sum + model.weightsMb, 0);
     const missing = models.find((model) =>
-      !this.#models.has(model.name) && heldMb + model.weightsMb <= weightsMb
+      !this.#models.has(model.name) && loadedMb + model.weightsMb <= weightsMb
     );
     return missing && {
       kind: "load",
@@ -461,27 +520,27 @@
     isDraining: boolean,
     now: Milliseconds,
   ): void {
-    const { slots: places } = this.admission;
-    if (isDraining) places.recordDraining(order.adapterPath);
-    else if (order.kind === "evict") places.recordEvicted(order.adapterPath);
+    const { slots } = this.admission;
+    if (isDraining) slots.recordDraining(order.adapterPath);
+    else if (order.kind === "evict") slots.recordEvicted(order.adapterPath);
     else if (order.adapter !== "") {
-      places.recordLoadOrdered(order.adapterPath, order.version, now);
+      slots.recordLoadOrdered(order.adapterPath, order.version, now);
     } else {
       this.#models.add(order.model);
       const loadMs = this.#limits.models
         .find((model) => model.name === order.model)?.loadMs ?? 0;
-      // The engine refuses other orders until the model is there.
+      // The engine rejects other orders until the model is loaded.
       this.#nextOrderAt = now + loadMs;
     }
   }
 
   #recordContents(
-    held: Pick<ContentsReport, "models" | "adapters">,
+    contents: Pick<ContentsReport, "models" | "adapters">,
     now: Milliseconds,
   ): void {
     this.#models.clear();
-    for (const model of held.models) this.#models.add(model);
-    this.admission.slots.reconcile(held.adapters, now);
+    for (const model of contents.models) this.#models.add(model);
+    this.admission.slots.reconcile(contents.adapters, now);
   }
 
   #needsReport(now: Milliseconds): boolean {
@@ -504,7 +563,10 @@
       this.admission.slots.hasDraining();
   }
 
-  /** Believes the report where it is newer than every order. */
+  /**
+   * Replaces the recorded state by the report if that is newer than every
+   * order.
+   */
   #reconcile(report: ContentsReport, now: Milliseconds): void {
     const isNewer = !this.#pendingOrder && report.readAt >= this.#lastOrderAt;
     const { state } = this.#ownership;
@@ -549,10 +611,10 @@
   }
 }
 
-/** Returns what it will show that the engine accepts the order. */
+/** Returns what the engine's acceptance of the order will prove. */
 function getEvidence(
-  { order, isInconclusive: isBlind }: PlannedOrder,
+  { order, isInconclusive }: PlannedOrder,
 ): OrderEvidence {
-  if (isBlind) return OrderEvidence.Inconclusive;
+  if (isInconclusive) return OrderEvidence.Inconclusive;
   return order.kind === "evict" ? OrderEvidence.Eviction : OrderEvidence.Load;
 }
--- a/src/core/ordering/engine_ownership.ts
+++ b/src/core/ordering/engine_ownership.ts
@@ -1,19 +1,22 @@
 /**
- * The right of one daemon to order one engine's loads and evictions, without
- * votes and without a store. The engine counts the orders that it accepted, and
- * each order names the count that it expects, so the engine itself is the
- * compare-and-set: a daemon takes over only by an order against a count that it
- * read more than a whole term ago, which the engine refuses if anybody ordered
- * since. Two holders therefore never order within one term of each other, and a
- * deposed holder's next order is refused.
+ * The ownership of an engine: the right of one daemon to order its loads and
+ * evictions, without elections and without a store. The engine counts the
+ * orders that it accepts, and each order names the count that it expects, so
+ * the engine itself is the compare-and-set. A daemon takes over only with an
+ * order that expects a count which it read more than a whole term ago; the
+ * engine rejects that order if any daemon has ordered since. Two owners
+ * therefore never order within one term of each other, and the next order of a
+ * deposed owner is rejected.
  *
- * An order that is fulfilled already, or under way, is not compared: it is
- * confirmed whatever it expects. Adapters are therefore loaded only within a term
- * of an accepted order that rivals do not give (proving_order.ts), in which nobody
- * else can have taken over. The base model of an empty engine has no such order
- * before it: unless nobody else can have observed that engine for a term yet, its
- * holder rests after it, until whoever else may have given the same order is a
- * term away; the next order is compared again.
+ * An engine does not compare the count of an order that is already fulfilled or
+ * in progress: it confirms such an order, whatever count it expects. Adapters
+ * are therefore loaded only within a term of an accepted order that other
+ * claimants do not send (proving_order.ts), during which no other daemon can
+ * have taken over. No such order precedes the load of an empty engine's base
+ * model. Unless no other daemon can have observed that engine for a term yet,
+ * its owner sends no orders after that load until a term has passed since
+ * another claimant may have sent the same order. The count of the next order is
+ * compared again.
  */
 import type { Milliseconds } from "../structures.ts";
 import type {
@@ -26,37 +29,68 @@
   Settlement,
 } from "./ownership_state.ts";
 
-/** What it shows that an engine accepted an order. */
+/** What an engine's acceptance of an order proves. */
 export const OrderEvidence = {
-  /** Nothing: a rival's same order would have been accepted too. */
+  /**
+   * Nothing: the engine would have accepted the same order from another
+   * claimant too.
+   */
   Inconclusive: "blind",
-  /** That nobody else has ordered; one of an adapter that was not there yet, or no more, is not counted. */
+  /**
+   * That no other daemon has ordered the engine. The engine does not count the
+   * eviction of an adapter that it has not loaded yet or no longer has.
+   */
   Eviction: "eviction",
-  /** That nobody else has ordered, and that the order was counted. */
+  /**
+   * That no other daemon has ordered the engine, and that the order was
+   * counted.
+   */
   Load: "load",
 } as const;
 export type OrderEvidence = (typeof OrderEvidence)[keyof typeof OrderEvidence];
 
 export interface EngineOwnershipOptions {
-  /** Time within which two holders may not take turns; from the platform. */
+  /** Time within which two owners must not alternate; set by the platform. */
   termMs: Milliseconds;
 }
 
-/** Added to the term for a report's age and for clocks that differ in pace. */
+/**
+ * Added to the term for the age of a report and for clocks that run at
+ * different rates.
+ */
 const TERM_MARGIN_MS = 300;
-/** Age of the oldest state that a report may give: the protocol says some hundred milliseconds. */
+/**
+ * Maximum age of the state that a report shows; the protocol allows several
+ * hundred milliseconds.
+ */
 export const REPORT_LAG_MS = 450;
-/** Time from the first report of an engine that nobody alive has held to the one that shows the same: the others' word comes between. */
+/**
+ * Time from the first report of an engine that no alive daemon has owned to the
+ * report that confirms it: the other daemons' heartbeats arrive in between.
+ */
 const UNOWNED_OBSERVATION_MS = 700;
-/** Longest time that a handover is taken to be on its way. */
+/** Maximum time that a handover is assumed to take on the network. */
 const MAX_HANDOVER_DELAY_MS = 300;
-/** Time for which an accepted order or a report shows that the engine has not restarted: a restart takes longer. */
+/**
+ * Time for which an accepted order or a report proves that the engine has not
+ * restarted: a restart takes longer.
+ */
 const VERIFIED_MS = 800;
-/** Shortest time for which an engine that crashes is down: the users' days play two seconds and more. */
+/**
+ * Minimum downtime of an engine that crashes: the users' scenarios have two
+ * seconds and more.
+ */
 const MIN_RESTART_MS = 1_500;
-/** The age that an accepted order or a report may have before an order that a rival may give too: the shorter, the sooner a rival's is seen. */
+/**
+ * Maximum age of the last accepted order or report before an order that another
+ * claimant may send too: the lower it is, the sooner the other claimant's order
+ * is seen.
+ */
 const CONTESTED_VERIFIED_MS = 400;
-/** Time after a contested order in which a rival may give the same one without seeing it. */
+/**
+ * Time after a contested order in which another claimant may send the same
+ * order without having seen this one.
+ */
 export const CONTESTED_WINDOW_MS = CONTESTED_VERIFIED_MS + REPORT_LAG_MS;
 
 export class EngineOwnership {
@@ -75,7 +109,10 @@
     return this.#state.kind === "holding" || this.#state.kind === "unsettled";
   }
 
-  /** Returns the count that the next order must expect, or undefined when none may be given now. */
+  /**
+   * Returns the count that the next order must expect, or undefined if none may
+   * be sent now.
+   */
   getExpectedSequence(now: Milliseconds): number | undefined {
     const { state } = this;
     return state.kind === "holding" && now >= state.ordersFrom
@@ -84,8 +121,8 @@
   }
 
   /**
-   * Returns whether nobody else can have ordered: an order of this holder was
-   * accepted within the term that any other one has to wait.
+   * Returns whether no other daemon can have ordered the engine: it accepted an
+   * order of this owner within the term that any other daemon has to wait.
    */
   isExclusive(now: Milliseconds): boolean {
     return this.#state.kind === "holding" &&
@@ -93,8 +130,9 @@
   }
 
   /**
-   * Returns whether the engine has lately shown that it did not restart. One that
-   * did counts anew, and a count from before may match by chance.
+   * Returns whether the engine has recently shown that it did not restart.
+   * After a restart it counts from 0 again, and a count from before may match
+   * by chance.
    */
   isVerified(isContested: boolean, now: Milliseconds): boolean {
     return this.#state.kind === "holding" &&
@@ -102,7 +140,7 @@
         (isContested ? CONTESTED_VERIFIED_MS : VERIFIED_MS);
   }
 
-  /** Returns the time since the engine's start; undefined where it is not known. */
+  /** Returns the time since the engine's start; undefined if it is unknown. */
   getEngineAgeMs(now: Milliseconds): Milliseconds | undefined {
     const { state } = this;
     return state.kind === "holding" && Number.isFinite(state.startedAt)
@@ -110,33 +148,41 @@
       : undefined;
   }
 
-  /** Returns whether somebody may take itself for the engine's only holder since its start. */
+  /**
+   * Returns whether a daemon may consider itself the engine's only owner since
+   * its start.
+   */
   canBeOwnedSinceStart(now: Milliseconds): boolean {
     const ageMs = this.getEngineAgeMs(now);
     return ageMs !== undefined && ageMs < this.#getSoleOwnershipMs();
   }
 
   /**
-   * Returns whether the engine started so lately that nobody can have observed it
-   * for a term by the time at which everybody sees an order that is given now.
+   * Returns whether this daemon was the only owner before a restart of the
+   * engine that is so recent that no other daemon can have observed the engine
+   * for a term by the time all daemons see an order sent now.
    */
   isSoleOwnerSinceRestart(now: Milliseconds): boolean {
     return this.#state.kind === "holding" && this.#state.isHeldSinceStart &&
       now - this.#state.startedAt < this.#getSoleOwnershipMs();
   }
 
-  /** Returns the age of an engine up to which its holder since the start orders alone. */
+  /**
+   * Returns the engine age up to which the only owner since the engine's start
+   * sends orders alone.
+   */
   #getSoleOwnershipMs(): Milliseconds {
     return this.#options.termMs - CONTESTED_WINDOW_MS;
   }
 
   /**
-   * Returns whether a report is wanted now, to observe, to settle an order, or to
-   * see that nobody has ordered since the first one before the engine is claimed.
+   * Returns whether a report has to be read now: to observe the engine, to
+   * settle an order, or to check before a claim that no daemon has ordered
+   * since the first report.
    */
   needsReport(
-    isWanted: boolean,
-    rivals: ClaimConditions,
+    isDesiredOwner: boolean,
+    conditions: ClaimConditions,
     now: Milliseconds,
   ): boolean {
     switch (this.#state.kind) {
@@ -147,36 +193,43 @@
       case "unsettled":
         return now >= this.#state.readableAt;
       case "observing":
-        if (!isWanted) return false;
-        if (rivals.isUnowned && !this.#isConfirmedUnowned()) {
+        if (!isDesiredOwner) return false;
+        if (conditions.isUnowned && !this.#isConfirmedUnowned()) {
           return now - this.#state.observedAt >= UNOWNED_OBSERVATION_MS;
         }
-        return this.#canClaim(rivals, now) && !this.#isConfirmed(now);
+        return this.#canClaim(conditions, now) && !this.#isConfirmed(now);
       case "holding":
         return false;
     }
   }
 
   /**
-   * Returns whether a whole term has passed since the report that was observed.
-   * An engine that has accepted no order since its start has had no holder: one
-   * that hears most daemons need not wait. Nor need one that heard from all others,
-   * between two equal reports, that they never held it, as after a restart of the
-   * whole fleet: who ordered before is no more.
+   * Returns whether the engine may be claimed: a whole term has passed since
+   * the observed report, and a recent report shows the same. An engine that has
+   * accepted no order since its start has had no owner, so a daemon with a
+   * quorum need not wait. Nor does a daemon need to wait if, between two equal
+   * reports, all others told it that they never owned the engine, as after a
+   * restart of the whole fleet: the previous owner no longer exists.
    */
-  isClaimable(rivals: ClaimConditions, now: Milliseconds): boolean {
-    return this.#canClaim(rivals, now) && this.#isConfirmed(now);
+  isClaimable(conditions: ClaimConditions, now: Milliseconds): boolean {
+    return this.#canClaim(conditions, now) && this.#isConfirmed(now);
   }
 
-  /** Returns whether the engine may be claimed once a report shows what was observed. */
-  #canClaim(rivals: ClaimConditions, now: Milliseconds): boolean {
+  /**
+   * Returns whether the engine may be claimed once a recent report shows the
+   * observed state.
+   */
+  #canClaim(conditions: ClaimConditions, now: Milliseconds): boolean {
     if (this.#state.kind !== "observing") return false;
-    const isUntouched = this.#state.sequence === 0 && rivals.hasQuorum;
-    return isUntouched || this.#hasTermElapsed(now) ||
-      (rivals.isUnowned && this.#isConfirmedUnowned());
+    const hasNoOrders = this.#state.sequence === 0 && conditions.hasQuorum;
+    return hasNoOrders || this.#hasTermElapsed(now) ||
+      (conditions.isUnowned && this.#isConfirmedUnowned());
   }
 
-  /** Returns whether a second report came late enough to show an order that others' word did not. */
+  /**
+   * Returns whether a second report was read late enough to show an order that
+   * the other daemons' heartbeats did not cover.
+   */
   #isConfirmedUnowned(): boolean {
     return this.#state.kind === "observing" &&
       this.#state.confirmedAt - this.#state.observedAt >=
@@ -193,27 +246,36 @@
       now - this.#state.confirmedAt <= VERIFIED_MS;
   }
 
-  /** Returns when the report was read from which the engine is observed; undefined otherwise. */
+  /**
+   * Returns when the report was read that started the observation; undefined if
+   * the engine is not being observed.
+   */
   get observedAt(): Milliseconds | undefined {
     return this.#state.kind === "observing"
       ? this.#state.observedAt
       : undefined;
   }
 
-  /** Returns the time until the engine may be claimed, a whole term where no report was read. */
-  estimateClaimMs(rivals: ClaimConditions, now: Milliseconds): Milliseconds {
+  /**
+   * Returns the time until the engine may be claimed; a whole term if no report
+   * was read.
+   */
+  estimateClaimMs(
+    conditions: ClaimConditions,
+    now: Milliseconds,
+  ): Milliseconds {
     const wholeTermMs = this.#options.termMs + TERM_MARGIN_MS;
     if (this.#state.kind !== "observing") return wholeTermMs;
-    const observationMs = rivals.isUnowned
+    const observationMs = conditions.isUnowned
       ? UNOWNED_OBSERVATION_MS
       : wholeTermMs;
     return Math.max(0, this.#state.observedAt + observationMs - now);
   }
 
-  /** Takes the right to order, once the term is over. */
-  claim(rivals: ClaimConditions, now: Milliseconds): boolean {
+  /** Becomes the owner if the engine may be claimed; returns whether it did. */
+  claim(conditions: ClaimConditions, now: Milliseconds): boolean {
     if (this.#state.kind !== "observing") return false;
-    if (!this.isClaimable(rivals, now)) return false;
+    if (!this.isClaimable(conditions, now)) return false;
     const { sequence, bornAtUnixMs, startedAt, confirmedAt } = this.#state;
     this.#takeOwnership({
       sequence,
@@ -225,7 +287,10 @@
     return true;
   }
 
-  /** Takes over from a holder that gave the engine up and orders it no more. */
+  /**
+   * Becomes the owner after a previous owner has released the engine and sends
+   * it no more orders.
+   */
   acceptHandover(
     handover: {
       sequence: number;
@@ -246,7 +311,10 @@
     return true;
   }
 
-  /** Trusts no time of before: this process stood still for longer than its clock says. */
+  /**
+   * Discards all proofs that depend on the time: this process was suspended for
+   * longer than its monotonic clock shows.
+   */
   recordPause(): void {
     const { state } = this;
     const never = Number.NEGATIVE_INFINITY;
@@ -337,19 +405,22 @@
     }
   }
 
-  /** Gives the engine up; the next claim starts with a new report and a whole term. */
+  /**
+   * Releases ownership; the next claim starts with a new report and a whole
+   * term.
+   */
   release(): void {
     this.#state = { kind: "idle" };
   }
 
-  /** Holds the engine; orders may be given from now on. */
-  #takeOwnership(held: AcquiredOwnership, now: Milliseconds): void {
+  /** Becomes the owner; orders may be sent from now on. */
+  #takeOwnership(acquired: AcquiredOwnership, now: Milliseconds): void {
     this.#state = {
       kind: "holding",
       ordersFrom: now,
       isHeldSinceStart: false,
       countedAt: Number.NEGATIVE_INFINITY,
-      ...held,
+      ...acquired,
     };
   }
 
@@ -403,7 +474,7 @@
       }, now);
       return { kind: "lastOrderNotAccepted" };
     }
-    // Nobody else can have ordered within a term of an order that was counted.
+    // No other daemon can have ordered within a term of a counted order.
     const isMiscounted = report.sequence < state.sequence &&
       report.readAt - state.countedAt < this.#options.termMs;
     if (isMiscounted) {
@@ -418,7 +489,8 @@
       }, now);
       return { kind: "evictionNotCounted" };
     }
-    // Nobody else can have ordered within a term of an accepted order of this holder.
+    // No other daemon can have ordered within a term of an accepted order of
+    // this owner.
     const isOwn = report.sequence === state.sequence + 1 &&
       report.readAt - state.acceptedAt < this.#options.termMs;
     if (!isOwn) return this.#depose(now);
@@ -435,8 +507,10 @@
   }
 
   /**
-   * An engine that restarted has accepted nothing, unless somebody was faster.
-   * @param acceptedAt when it last accepted an order from here before.
+   * Keeps ownership of an engine that restarted, unless another daemon has
+   * already ordered it.
+   * @param acceptedAt when the engine last accepted an order of this daemon
+   * before.
    */
   #handleRestart(
     acceptedAt: Milliseconds,
@@ -445,7 +519,8 @@
   ): Settlement {
     if (report.sequence !== 0) return this.#depose(now);
     const startedAt = report.readAt - report.ageMs;
-    // Whoever else claimed it first waited a term, and it was down for a while.
+    // Any other daemon waited a term before its claim, and the engine was down
+    // for a while.
     const isHeldSinceStart =
       startedAt - acceptedAt < this.#options.termMs + MIN_RESTART_MS;
     this.#takeOwnership({
--- a/src/core/ordering/fence_clock.ts
+++ b/src/core/ordering/fence_clock.ts
@@ -1,12 +1,16 @@
 /**
- * Draws fencing numbers that rise over holders which may not hear each other: a
- * hybrid logical clock of the wall clock and of the highest number heard. Two
- * holders of one engine draw at least a term apart, far more than wall clocks
- * differ; the low digits tell hosts apart.
+ * Generates fencing numbers that increase from owner to owner even if the
+ * owners cannot hear each other: a hybrid logical clock of the wall clock and
+ * the highest time received from peers. Two owners of one engine draw numbers
+ * at least a term apart, which is far more than their wall clocks differ. The
+ * low digits tell hosts apart.
  */
 import { hashText } from "../hashing.ts";
 
-/** Numbers for hosts within one millisecond; keeps the number below 2^53. */
+/**
+ * Fencing numbers within one millisecond, one for each host; keeps the numbers
+ * below 2^53.
+ */
 const FENCES_PER_MS = 1_024;
 
 export class FenceClock {
@@ -17,12 +21,12 @@
     this.#hostOffset = hashText(host) % FENCES_PER_MS;
   }
 
-  /** Highest time drawn or heard, to be told to peers. */
+  /** Highest time drawn or received, which is sent to the peers. */
   get highestMs(): number {
     return this.#highestMs;
   }
 
-  /** Takes over the time that a peer has told. */
+  /** Merges the highest time of a peer. */
   recordHeard(unixMs: number): void {
     this.#highestMs = Math.max(this.#highestMs, unixMs);
   }
--- a/src/core/ordering/order_planner.ts
+++ b/src/core/ordering/order_planner.ts
@@ -1,8 +1,9 @@
 /**
- * Turns the order that an engine's desk wants into the one that may be given now.
- * Within a term of an accepted order that is the same. Otherwise an order comes
- * first that proves the right to give more, and where rivals may give one too,
- * each gives its own, or they give it in turns.
+ * Decides which order an owner sends to its engine next. Within a term of an
+ * accepted order, that is the order that the engine's permit queue needs.
+ * Otherwise the owner first sends an order that proves its ownership. Where
+ * other claimants may send such an order as well, each claimant sends a
+ * different one, or they send it in turns.
  */
 import type {
   AdmissionController,
@@ -15,27 +16,48 @@
 } from "./engine_ownership.ts";
 import { selectProvingOrder } from "./proving_order.ts";
 
-/** Time for which a new holder evicts only what no rival would: a term, after which rivals have seen it order. */
+/**
+ * Time for which a new owner proves its ownership only with evictions from its
+ * own share: one term, after which other claimants have seen its orders.
+ */
 const PROOF_OWN_SHARE_MS = 3_000;
-/** Part of a turn in which a contested order may be given: a look at the engine and the order take some ticks. */
+/**
+ * Part of a turn in which a contested order may be sent: reading the engine's
+ * report and sending the order take several ticks.
+ */
 const TURN_SEND_WINDOW_MS = 500;
-/** Length of a turn for contested orders: what was given in one is seen in the next. */
+/**
+ * Length of a turn for contested orders: an order sent in one turn is visible
+ * in the next.
+ */
 const CONTESTED_TURN_MS = TURN_SEND_WINDOW_MS + CONTESTED_WINDOW_MS;
 
-/** An order that is due, and what its acceptance will be worth. */
+/** An order to send now, and what its acceptance proves. */
 export interface PlannedOrder {
   order: EngineOrder;
-  /** Whether a rival may give one too, so that the engine is looked at right before. */
+  /**
+   * Whether another claimant may send an order at the same time, so that a
+   * recent report must be read before.
+   */
   isContested: boolean;
-  /** Whether a rival's would be accepted too, also after this one. */
+  /**
+   * Whether the engine would accept the same order from another claimant even
+   * after this one.
+   */
   isInconclusive: boolean;
 }
 
 export interface OrderPlannerOptions {
   selfId: string;
-  /** Returns the daemons, foremost first, that may take the engine over at the same time. */
+  /**
+   * Returns the daemons that may claim the engine at the same time, most
+   * preferred first.
+   */
   listClaimants: () => readonly string[];
-  /** Names an adapter of a model that hardly any other daemon names; undefined when it has none. */
+  /**
+   * Returns an adapter of the model that other daemons are unlikely to select;
+   * undefined if the model has no adapters.
+   */
   selectOwnAdapter: (model: string) => string | undefined;
 }
 
@@ -43,52 +65,63 @@
   readonly #options: OrderPlannerOptions;
   readonly #ownership: EngineOwnership;
   readonly #admission: AdmissionController;
-  /** When the engine was claimed, handed over or found restarted. */
+  /**
+   * When this daemon claimed the engine, received it in a handover or saw that
+   * it had restarted.
+   */
   #ownedSince = Number.NEGATIVE_INFINITY;
-  /** Whether others may have taken the engine over at the same time. */
+  /** Whether other daemons may have claimed the engine at the same time. */
   #mayHaveOtherClaimants = false;
-  /** When the engine accepted the order that proved the right to give more. */
+  /** When the engine accepted the order that proved ownership. */
   #provenAt = Number.NEGATIVE_INFINITY;
 
   constructor(
     options: OrderPlannerOptions,
-    tenure: EngineOwnership,
-    desk: AdmissionController,
+    ownership: EngineOwnership,
+    admission: AdmissionController,
   ) {
     this.#options = options;
-    this.#ownership = tenure;
-    this.#admission = desk;
+    this.#ownership = ownership;
+    this.#admission = admission;
   }
 
-  /** Notes that the right to order was taken, and whether others may have taken it too. */
-  recordOwnership(mayHaveRivals: boolean, now: Milliseconds): void {
+  /**
+   * Records that this daemon became the owner, and whether other daemons may
+   * have claimed the engine too.
+   */
+  recordOwnership(mayHaveOtherClaimants: boolean, now: Milliseconds): void {
     this.#ownedSince = now;
-    this.#mayHaveOtherClaimants = mayHaveRivals;
+    this.#mayHaveOtherClaimants = mayHaveOtherClaimants;
   }
 
-  /** Notes that an order was accepted that shows that nobody else gives any. */
+  /**
+   * Records that the engine accepted an order which proves that no other daemon
+   * orders it.
+   */
   recordProof(now: Milliseconds): void {
     this.#provenAt = now;
   }
 
   /**
-   * Returns the order to give now, or undefined while none may be given.
-   * @param hearsMajority whether this daemon hears most of those that it knows.
+   * Returns the order to send now, or undefined while none may be sent.
+   * @param hasQuorum whether this daemon hears a majority of the daemons that
+   * could own the engine.
    */
   plan(
     wanted: EngineOrder,
-    hearsMajority: boolean,
+    hasQuorum: boolean,
     now: Milliseconds,
   ): PlannedOrder | undefined {
     const isProven = this.#ownership.isExclusive(now);
-    // A rival that has not seen the proof yet may still evict of its share.
-    const isShared = wanted.kind === "evict" && this.#mayHaveOtherClaimants &&
+    // Another claimant that has not seen the proof yet may still evict an
+    // adapter from its own share.
+    const mayCollide = wanted.kind === "evict" && this.#mayHaveOtherClaimants &&
       now - this.#provenAt < CONTESTED_WINDOW_MS;
-    if (isProven && !isShared) return createUncontestedOrder(wanted);
+    if (isProven && !mayCollide) return createUncontestedOrder(wanted);
     if (wanted.adapter !== "") {
-      return this.#planProvingOrder(wanted.model, hearsMajority, now);
+      return this.#planProvingOrder(wanted.model, hasQuorum, now);
     }
-    const isAlone = hearsMajority ||
+    const isAlone = hasQuorum ||
       this.#ownership.isSoleOwnerSinceRestart(now);
     if (isAlone) return createUncontestedOrder(wanted);
     return this.#isContestedTurn(now)
@@ -97,43 +130,43 @@
   }
 
   /**
-   * Returns whether it is this daemon's turn to give an order that rivals may give
-   * too. The engine's age deals the turns, so that those keep apart that do not
-   * hear each other; they begin when nobody gives the order as the engine's only
-   * holder any more.
+   * Returns whether it is this daemon's turn to send an order that other
+   * claimants may send too. The turns follow from the engine's age, so that
+   * daemons that cannot hear each other still send at different times. They
+   * begin once no daemon can consider itself the engine's only owner since its
+   * start any more.
    */
   #isContestedTurn(now: Milliseconds): boolean {
-    const { selfId, listClaimants: listRivals } = this.#options;
+    const { selfId, listClaimants } = this.#options;
     if (this.#ownership.canBeOwnedSinceStart(now)) return false;
     const ageMs = this.#ownership.getEngineAgeMs(now) ?? 0;
-    const rivals = listRivals();
-    const index = rivals.indexOf(selfId);
-    const turn = index < 0 ? rivals.length : index;
-    const cycleMs = (rivals.length + 1) * CONTESTED_TURN_MS;
+    const claimants = listClaimants();
+    const index = claimants.indexOf(selfId);
+    const turn = index < 0 ? claimants.length : index;
+    const cycleMs = (claimants.length + 1) * CONTESTED_TURN_MS;
     const sinceTurnMs = (ageMs - turn * CONTESTED_TURN_MS) % cycleMs;
     return sinceTurnMs >= 0 && sinceTurnMs < TURN_SEND_WINDOW_MS;
   }
 
   #planProvingOrder(
     model: string,
-    hearsMajority: boolean,
+    hasQuorum: boolean,
     now: Milliseconds,
   ): PlannedOrder | undefined {
-    const { selfId, selectOwnAdapter, listClaimants: listRivals } =
-      this.#options;
-    const { slots: places } = this.#admission;
-    const isPatienceOver = now - this.#ownedSince > PROOF_OWN_SHARE_MS;
+    const { selfId, selectOwnAdapter, listClaimants } = this.#options;
+    const { slots } = this.#admission;
+    const isOwnShareTimeOver = now - this.#ownedSince > PROOF_OWN_SHARE_MS;
     const order = selectProvingOrder({
       selfId,
-      claimants: listRivals(),
-      mayEvictAny: !this.#mayHaveOtherClaimants || (isPatienceOver &&
-        (hearsMajority || this.#isContestedTurn(now))),
+      claimants: listClaimants(),
+      mayEvictAny: !this.#mayHaveOtherClaimants || (isOwnShareTimeOver &&
+        (hasQuorum || this.#isContestedTurn(now))),
       model,
       ownAdapter: selectOwnAdapter(model),
       idlePaths: this.#admission.listEvictable(now)
-        .map((place) => place.adapterPath),
-      hasFreeSlot: places.hasFreeSlot(),
-      hasAdapter: (adapterPath) => places.getSlot(adapterPath) !== undefined,
+        .map((slot) => slot.adapterPath),
+      hasFreeSlot: slots.hasFreeSlot(),
+      hasAdapter: (adapterPath) => slots.getSlot(adapterPath) !== undefined,
     });
     return order && { order, isContested: true, isInconclusive: false };
   }
--- a/src/core/ordering/owner_roles.ts
+++ b/src/core/ordering/owner_roles.ts
@@ -1,8 +1,9 @@
 /**
- * Which engines one daemon should hold or observe, by what it knows of the others.
- * A holder keeps its engine while it lives; of two, the preferred one does. Right
- * after the start nobody else is known: nothing is claimed until peers have been
- * heard, sooner where all of them have just started too.
+ * Decides which engines a daemon should own or observe, by what it knows about
+ * its peers. An owner keeps its engine while it is alive; of two owners, the
+ * one that ranks higher keeps it. Right after its start a daemon does not know
+ * its peers: it claims nothing until it has had time to hear them, which is
+ * shorter if all of them have recently started too.
  */
 import type { FleetView } from "../fleet/fleet_view.ts";
 import { RECENTLY_STARTED_MS } from "../fleet/fleet_view.ts";
@@ -10,26 +11,38 @@
 import type { Milliseconds } from "../structures.ts";
 import type { OwnershipContext } from "./engine_owner.ts";
 
-/** Daemons, by rank, that observe an engine while it has no holder. */
+/** Number of daemons, by rank, that observe an engine while it has no owner. */
 const OBSERVERS = 2;
-/** Time after the start before engines are sought: peers are heard by then. */
+/**
+ * Time after the start before engines are claimed: peers have been heard by
+ * then.
+ */
 const STARTUP_WAIT_MS = 2_500;
-/** The same where all peers that are known have just started, too: four of a newcomer's heartbeats. */
+/**
+ * The same if all known peers have recently started too: four of the heartbeats
+ * that a daemon sends right after its start.
+ */
 const FLEET_START_WAIT_MS = 600;
 
 export interface OwnerRolesOptions {
   fleet: FleetView;
-  /** Where peers are looked for first; all of them are heard where nobody is cut off. */
+  /**
+   * Addresses at which peers are looked for first; all of them are heard unless
+   * the network is partitioned.
+   */
   seedIps: readonly string[];
   /** When this daemon started. */
   startedAt: Milliseconds;
 }
 
-/** What a daemon has to do with one engine so far. */
+/** Whether a daemon owns or observes an engine. */
 export interface OwnershipStatus {
   readonly engineId: string;
   isOwner(): boolean;
-  /** When the report was read from which the engine is observed here. */
+  /**
+   * When the report was read that started the observation; undefined if the
+   * engine is not being observed.
+   */
   readonly observedAt: Milliseconds | undefined;
 }
 
@@ -40,14 +53,17 @@
 
 export class OwnerRoles {
   readonly #options: OwnerRolesOptions;
-  /** Engines that were held here soon after the start, whether they still are or not. */
+  /**
+   * Engines that this daemon owned soon after its start, whether it still owns
+   * them or not.
+   */
   readonly #ownedSinceStart = new Set<string>();
 
   constructor(options: OwnerRolesOptions) {
     this.#options = options;
   }
 
-  /** @param from an engine is undefined once it is registered no more. */
+  /** @param from `engine` is undefined once it is no longer registered. */
   describeContext(
     from: {
       engine: EngineIdentity | undefined;
@@ -57,39 +73,44 @@
     },
     now: Milliseconds,
   ): OwnershipContext {
-    const { engine, holder, fetchShare, isStopping } = from;
+    const { engine, holder: owner, fetchShare, isStopping } = from;
     const { fleet, startedAt } = this.#options;
-    const isUnheld = engine !== undefined &&
-      this.#isUnowned(engine, holder, now);
-    const settleMs = isUnheld ? FLEET_START_WAIT_MS : STARTUP_WAIT_MS;
-    const isSettled = now - startedAt > settleMs;
-    if (!engine || !isSettled || isStopping) {
+    const isUnowned = engine !== undefined &&
+      this.#isUnowned(engine, owner, now);
+    const waitMs = isUnowned ? FLEET_START_WAIT_MS : STARTUP_WAIT_MS;
+    const isStartupOver = now - startedAt > waitMs;
+    if (!engine || !isStartupOver || isStopping) {
       return {
-        isDesiredOwner: holder.isOwner(),
-        // Who else there is is not known yet: the engines nearby are the likeliest to be held here.
+        isDesiredOwner: owner.isOwner(),
+        // The peers are not known yet: this daemon is most likely to own
+        // engines of its own failure domain.
         isCandidate: engine !== undefined && !isStopping &&
           engine.failureDomain === fleet.self.failureDomain,
         hasQuorum: false,
         isUnowned: false,
         peers: this.#listPeers(now),
-        // Who holds an engine already, by a quick claim or a handover, goes on with it.
-        fetchShare: holder.isOwner()
+        // A daemon that already owns an engine, by an early claim or a
+        // handover, continues to fetch adapters.
+        fetchShare: owner.isOwner()
           ? fetchShare
           : { ...fetchShare, canFetch: false },
       };
     }
-    const isWanted = this.#isDesiredOwner(engine, holder, now);
+    const isDesiredOwner = this.#isDesiredOwner(engine, owner, now);
     return {
-      isDesiredOwner: isWanted,
-      isCandidate: isWanted || this.#isObserver(engine, now),
+      isDesiredOwner,
+      isCandidate: isDesiredOwner || this.#isObserver(engine, now),
       hasQuorum: fleet.hasQuorum(engine.failureDomain, now),
-      isUnowned: isUnheld,
+      isUnowned,
       peers: this.#listPeers(now),
       fetchShare,
     };
   }
 
-  /** Returns the daemons that may have runs at an engine; undefined where not every one is heard. */
+  /**
+   * Returns the daemons that may have runs on an engine; undefined in a large
+   * fleet, where not every daemon is heard.
+   */
   #listPeers(now: Milliseconds): string[] | undefined {
     const { fleet } = this.#options;
     if (!fleet.isFullMesh()) return undefined;
@@ -97,13 +118,19 @@
     return [fleet.self.id, ...peers];
   }
 
-  /** Remembers which engines a newcomer held; nobody asks an older daemon. */
-  recordOwned(holder: OwnershipStatus, now: Milliseconds): void {
-    if (!holder.isOwner() || !this.#isRecentlyStarted(now)) return;
-    this.#ownedSinceStart.add(holder.engineId);
+  /**
+   * Records which engines this daemon owned soon after its start; later no peer
+   * needs to know.
+   */
+  recordOwned(owner: OwnershipStatus, now: Milliseconds): void {
+    if (!owner.isOwner() || !this.#isRecentlyStarted(now)) return;
+    this.#ownedSinceStart.add(owner.engineId);
   }
 
-  /** Returns the engines that were held here since the start, undefined when that was long ago. */
+  /**
+   * Returns the engines that this daemon has owned since its start; undefined
+   * if the start was long ago.
+   */
   listOwnedSinceStart(now: Milliseconds): string[] | undefined {
     return this.#isRecentlyStarted(now)
       ? [...this.#ownedSinceStart]
@@ -114,7 +141,10 @@
     return now - this.#options.startedAt < RECENTLY_STARTED_MS;
   }
 
-  /** Returns whether neither this daemon nor a peer has held the engine since all of them started. */
+  /**
+   * Returns whether neither this daemon nor a peer has owned the engine since
+   * all of them started.
+   */
   #isUnowned(
     engine: EngineIdentity,
     { observedAt }: OwnershipStatus,
@@ -128,25 +158,29 @@
 
   #isDesiredOwner(
     engine: EngineIdentity,
-    holder: OwnershipStatus,
+    owner: OwnershipStatus,
     now: Milliseconds,
   ): boolean {
     const { fleet } = this.#options;
     const selfId = fleet.self.id;
-    const otherHolder = fleet.findOwner(engine.id, now);
-    if (otherHolder === undefined) {
-      return holder.isOwner() ||
+    const otherOwner = fleet.findOwner(engine.id, now);
+    if (otherOwner === undefined) {
+      return owner.isOwner() ||
         fleet.rankOwners(engine, false, now)[0]?.id === selfId;
     }
-    if (!holder.isOwner()) return false;
+    if (!owner.isOwner()) return false;
     const ranked = fleet.rankOwners(engine, false, now);
     const own = ranked.findIndex((member) => member.id === selfId);
-    const other = ranked.findIndex((member) => member.id === otherHolder);
-    if (own < 0 && other < 0) return selfId < otherHolder;
+    const other = ranked.findIndex((member) => member.id === otherOwner);
+    if (own < 0 && other < 0) return selfId < otherOwner;
     return own >= 0 && (other < 0 || own < other);
   }
 
-  /** The first in rank observe an engine that nobody holds, so that a term has passed when one must claim it. */
+  /**
+   * Returns whether this daemon is among the first in rank for an engine
+   * without an owner. These observe it, so that a term has already passed when
+   * one of them has to claim it.
+   */
   #isObserver(engine: EngineIdentity, now: Milliseconds): boolean {
     const { fleet } = this.#options;
     if (fleet.findOwner(engine.id, now) !== undefined) return false;
--- a/src/core/ordering/ownership_state.ts
+++ b/src/core/ordering/ownership_state.ts
@@ -1,42 +1,58 @@
 /**
- * What a daemon believes of its right to order one engine, and what it learns of it:
- * the engine's reports and answers, and the word of others.
+ * The state of a daemon's ownership of one engine, and the inputs that change
+ * it: the engine's reports, its answers to orders, and the heartbeats of other
+ * daemons.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** What one daemon believes of its right to order one engine. */
+/** State of one daemon's ownership of one engine. */
 export type OwnershipState =
-  /** Nobody here wants the engine, or no report has been read yet. */
+  /** This daemon does not seek ownership, or has not read a report yet. */
   | { kind: "idle" }
-  /** A report was read; the term runs. */
+  /** A report was read; the engine may be claimed once a term has passed. */
   | {
     kind: "observing";
     sequence: number;
     bornAtUnixMs: number;
     observedAt: Milliseconds;
     startedAt: Milliseconds;
-    /** When a report last showed the same. */
+    /** When a report last showed the same sequence number and start time. */
     confirmedAt: Milliseconds;
   }
-  /** Orders may be given against `sequence`. */
+  /** This daemon is the owner, and its next order expects `sequence`. */
   | {
     kind: "holding";
     sequence: number;
     bornAtUnixMs: number;
-    /** Time of the last order that the engine accepted from here. */
+    /**
+     * When the last accepted order was sent that proves this daemon's
+     * ownership.
+     */
     acceptedAt: Milliseconds;
-    /** Time of the last one that it surely counted. */
+    /** When the last order was sent that the engine certainly counted. */
     countedAt: Milliseconds;
-    /** Time at which the engine last showed that it is the one that is held. */
+    /** When the engine last showed that it had not restarted. */
     verifiedAt: Milliseconds;
-    /** Time from which orders may be given: later than now after a blind order. */
+    /**
+     * When the next order may be sent: later than now after an inconclusive
+     * order.
+     */
     ordersFrom: Milliseconds;
-    /** Latest time at which the engine can have started; unknown after a handover. */
+    /**
+     * Latest time at which the engine can have started; unknown after a
+     * handover.
+     */
     startedAt: Milliseconds;
-    /** Whether this daemon alone held the engine when it went down to start again. */
+    /**
+     * Whether this daemon was the only owner when the engine went down to
+     * restart.
+     */
     isHeldSinceStart: boolean;
   }
-  /** An order's fate is unknown until a report is read later than `readableAt`. */
+  /**
+   * Whether the last order was accepted is unknown until a report is read at or
+   * after `readableAt`.
+   */
   | {
     kind: "unsettled";
     sequence: number;
@@ -44,16 +60,22 @@
     acceptedAt: Milliseconds;
     countedAt: Milliseconds;
     startedAt: Milliseconds;
-    /** When the order in doubt was sent. */
+    /** When the unsettled order was sent. */
     sentAt: Milliseconds;
     readableAt: Milliseconds;
   }
-  /** Another daemon has ordered since; this one stays away until then. */
+  /**
+   * Another daemon has ordered the engine; this one does not observe it before
+   * `until`.
+   */
   | { kind: "deposed"; until: Milliseconds };
 
 export type OwnedState = Extract<OwnershipState, { kind: "holding" }>;
 
-/** What differs between the ways to hold an engine. */
+/**
+ * Fields that differ between the ways to become the owner: a claim, a handover,
+ * a restart of the engine, a settled order.
+ */
 export type AcquiredOwnership =
   & Omit<
     OwnedState,
@@ -61,44 +83,58 @@
   >
   & Partial<Pick<OwnedState, "isHeldSinceStart" | "countedAt">>;
 
-/** An engine's own account of the orders that it accepted. */
+/** What an engine reports about the orders that it accepted. */
 export interface OrderReport {
   sequence: number;
   bornAtUnixMs: number;
-  /** Time since the engine's start, at least. */
+  /** Minimum time since the engine's start. */
   ageMs: Milliseconds;
-  /** When the reading was asked for. */
+  /** When the report was requested. */
   readAt: Milliseconds;
 }
 
-/** How an engine answered an order. */
+/** Result of sending an order to an engine. */
 export type OrderAnswer =
-  /** `isDraining`: an eviction that waits for the adapter's runs; its slot is not free yet. */
+  /**
+   * `isDraining`: the eviction waits for the adapter's running requests; its
+   * adapter slot is not free yet.
+   */
   | { kind: "accepted"; isDraining?: boolean }
-  /** It held already; whether the count moved is not known. */
+  /**
+   * The engine had already loaded it; whether the order was counted is unknown.
+   */
   | { kind: "alreadyHeld" }
-  /** Another order is under way, or the count differs. */
+  /**
+   * Another order is in progress, or the sequence number is not the expected
+   * one.
+   */
   | { kind: "conflict" }
   | { kind: "rejected"; detail: string }
   /** The order was never sent. */
   | { kind: "notSent"; detail: string }
-  /** No answer: it may have been accepted. */
+  /** No answer arrived; the engine may have accepted the order. */
   | { kind: "unanswered"; detail: string };
 
-/** What reading a report settled. */
+/** What a report showed about the ownership and the last order. */
 export type Settlement =
   | { kind: "none" }
   | { kind: "lastOrderAccepted" }
   | { kind: "lastOrderNotAccepted" }
-  /** Evictions that were confirmed had not been counted. */
+  /** The engine had confirmed evictions without counting them. */
   | { kind: "evictionNotCounted" }
   | { kind: "restarted" }
   | { kind: "deposed" };
 
-/** What is known of others that may hold the engine. */
+/** What is known about other daemons that may own the engine. */
 export interface ClaimConditions {
-  /** Whether this daemon hears most of those that it knows. */
+  /**
+   * Whether this daemon hears a majority of the daemons that could own the
+   * engine.
+   */
   hasQuorum: boolean;
-  /** Whether all others said, since the report that is observed, that they never held it. */
+  /**
+   * Whether all other daemons have said, since the observed report, that they
+   * never owned the engine.
+   */
   isUnowned: boolean;
 }
--- a/src/core/ordering/proving_order.ts
+++ b/src/core/ordering/proving_order.ts
@@ -1,10 +1,12 @@
 /**
- * Chooses the order by which a daemon proves that nobody else orders an engine.
- * An engine refuses an order against an old count, but confirms one that is
- * fulfilled already, whatever it expects: the load of an adapter that it holds,
- * the eviction of one that it does not. So two daemons that take an engine over
- * at once must not give the same order: the adapters to evict are divided among
- * those that are likely to, and each has an adapter of its own to load.
+ * Selects the order with which a daemon proves that no other daemon orders an
+ * engine. An engine rejects an order that expects an outdated sequence number,
+ * but it confirms an order that is already fulfilled, whatever sequence number
+ * the order expects: the load of an adapter that is present, or the eviction of
+ * one that is absent. Two daemons that claim an engine at the same time must
+ * therefore not send the same order. The idle adapters that may be evicted are
+ * divided among the likely claimants, and each claimant has an adapter of its
+ * own to load.
  */
 import {
   buildEvictionOrder,
@@ -13,32 +15,42 @@
 import { findRendezvousWinner } from "../hashing.ts";
 import { formatAdapterPath } from "../placement/adapter_path.ts";
 
-/** What the engine holds, as far as it bears on the choice. */
+/** State of the engine and of its claimants that the selection depends on. */
 export interface ProvingOrderInput {
   selfId: string;
-  /** Daemons that may take the engine over at the same time, this one perhaps among them. */
+  /**
+   * Daemons that may claim the engine at the same time; may include this one.
+   */
   claimants: readonly string[];
-  /** Whether an adapter of a rival's share may be evicted, when none is left of the own. */
+  /**
+   * Whether an adapter from another claimant's share may be evicted if this
+   * daemon's own share has none left.
+   */
   mayEvictAny: boolean;
-  /** Model of the adapters. */
+  /** Base model of the adapters. */
   model: string;
-  /** Adapter that hardly any other daemon names; undefined when the model has none. */
+  /**
+   * Adapter that other daemons are unlikely to select; undefined if the model
+   * has no adapters.
+   */
   ownAdapter: string | undefined;
-  /** Adapters that are resident and in nobody's use. */
+  /** Resident adapters that no request uses. */
   idlePaths: readonly string[];
-  /** Whether a slot is free. */
+  /** Whether an adapter slot is free. */
   hasFreeSlot: boolean;
   hasAdapter: (adapterPath: string) => boolean;
 }
 
-/** Returns the order, or undefined while the engine has no room and nothing idle that may go. */
+/**
+ * Returns the order, or undefined while the engine has neither a free adapter
+ * slot nor an idle adapter that may be evicted.
+ */
 export function selectProvingOrder(
-  situation: ProvingOrderInput,
+  input: ProvingOrderInput,
 ): EngineOrder | undefined {
-  const { model, ownAdapter, hasFreeSlot: hasRoom, hasAdapter: isHeld } =
-    situation;
+  const { model, ownAdapter, hasFreeSlot, hasAdapter } = input;
   const ownPath = formatAdapterPath(model, ownAdapter ?? "");
-  if (ownAdapter !== undefined && hasRoom && !isHeld(ownPath)) {
+  if (ownAdapter !== undefined && hasFreeSlot && !hasAdapter(ownPath)) {
     return {
       kind: "load",
       model,
@@ -47,16 +59,16 @@
       version: undefined,
     };
   }
-  const own = selectVictim(situation, listOwnShare(situation));
-  if (own || !situation.mayEvictAny) return own;
-  return selectVictim(situation, situation.idlePaths);
+  const own = selectVictim(input, listOwnShare(input));
+  if (own || !input.mayEvictAny) return own;
+  return selectVictim(input, input.idlePaths);
 }
 
-function listOwnShare(situation: ProvingOrderInput): string[] {
-  const { selfId, claimants: rivals, idlePaths } = situation;
-  const sharers = [...new Set([...rivals, selfId])].map((id) => ({ id }));
+function listOwnShare(input: ProvingOrderInput): string[] {
+  const { selfId, claimants, idlePaths } = input;
+  const candidates = [...new Set([...claimants, selfId])].map((id) => ({ id }));
   return idlePaths.filter((path) =>
-    findRendezvousWinner(path, sharers)?.id === selfId
+    findRendezvousWinner(path, candidates)?.id === selfId
   );
 }
 
--- a/src/core/ordering/run_adoption.ts
+++ b/src/core/ordering/run_adoption.ts
@@ -1,18 +1,28 @@
 /**
- * Whether all daemons have told a new holder of the runs that they have at its
- * engine. Load pattern: after a change of holder every slot of the engine is taken,
- * and nothing can be loaded before it is known which adapters are in use.
+ * Tracks whether all daemons have reported their running requests to the new
+ * owner of an engine. Load pattern: when the owner changes, every adapter slot
+ * of the engine is taken, and the new owner cannot load anything until it knows
+ * which adapters are in use.
  */
 export class RunAdoption {
-  /** Runs told so far, by the daemons that are still to tell of some. */
+  /**
+   * Number of runs reported so far by each daemon that has more to report;
+   * undefined if not all daemons are known.
+   */
   #pendingPeers: Map<string, number> | undefined;
 
-  /** @param peers daemons that may have runs; undefined where not all are known. */
+  /**
+   * @param peers daemons that may have runs on the engine; undefined if not all
+   * are known.
+   */
   begin(peers: readonly string[] | undefined): void {
     this.#pendingPeers = peers && new Map(peers.map((peer) => [peer, 0]));
   }
 
-  /** Notes that a daemon has told of some of its runs, and how many it has in all. */
+  /**
+   * Records that a daemon has reported some of its runs, and how many it has in
+   * total.
+   */
   recordReported(peer: string, runs: number, total: number): void {
     const before = this.#pendingPeers?.get(peer);
     if (before === undefined) return;
--- a/test/core/fleet/heartbeat_builder.ts
+++ b/test/core/fleet/heartbeat_builder.ts
@@ -1,4 +1,7 @@
-/** Heartbeats for tests, of a daemon that knows and holds nothing unless told otherwise. */
+/**
+ * Builds heartbeats for tests, by default of a daemon that knows no other
+ * member and owns no engine.
+ */
 import type {
   FleetMember,
   Heartbeat,
--- a/test/core/fleet/large_fleet_test.ts
+++ b/test/core/fleet/large_fleet_test.ts
@@ -1,6 +1,7 @@
 /**
- * A whole large fleet that starts at once, loses messages and then a member:
- * everybody knows everybody soon, nobody is taken for dead, a death is noticed.
+ * Simulates a large fleet whose daemons all start at once, which loses messages
+ * and later a member. All daemons have to learn of each other soon, none may be
+ * considered dead while it is alive, and a death has to be detected.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -16,10 +17,11 @@
 import { buildHeartbeat } from "./heartbeat_builder.ts";
 
 /**
- * Sizes of the users' grown sites and of their sweep, and the time within which
- * the failure domain has to notice a death: on the grown sites in the 8 s that it
- * took when each daemon believed its own ears only; in larger fleets within half
- * a minute, as there a daemon that is not taken for dead comes first.
+ * Fleet sizes of the users' grown sites and of their size sweep, and the time
+ * within which the failure domain has to detect a death. On the grown sites
+ * that is 8 seconds, as it was when each daemon relied only on the heartbeats
+ * that it received itself. In larger fleets it is half a minute, as there it
+ * matters more that no alive daemon is considered dead.
  */
 const SIZES = [
   { members: 195, failureDomains: 6, deathNoticedMs: 30_000 },
@@ -27,20 +29,20 @@
   { members: 300, failureDomains: 5, deathNoticedMs: 30_000 },
 ];
 const STEP_MS = 100;
-/** Messages lost, in a hundred. */
+/** Percentage of messages that are lost. */
 const LOSS_PERCENT = 3;
-/** Daemons that newcomers are told of by the platform. */
+/** Number of daemons that the platform names to a daemon that starts. */
 const SEEDS = 3;
-/** Time from a daemon's start until it seeks engines. */
-const SETTLE_MS = 2_500;
-const WARM_MS = 20_000;
+/** Time from a daemon's start until it may claim engines. */
+const STARTUP_WAIT_MS = 2_500;
+const WARMUP_MS = 20_000;
 const CHECK_INTERVAL_MS = 500;
 
 interface Daemon {
   self: FleetMember;
   fleet: FleetView;
   startsAt: number;
-  nextBeatAt: number;
+  nextHeartbeatAt: number;
   isDead: boolean;
 }
 
@@ -62,37 +64,40 @@
         self,
         fleet: new FleetView(self),
         startsAt,
-        nextBeatAt: startsAt,
+        nextHeartbeatAt: startsAt,
         isDead: false,
       };
     });
     for (const daemon of this.daemons) this.#byId.set(daemon.self.id, daemon);
   }
 
-  playUntil(end: number, check?: (daemon: Daemon) => void): void {
+  runUntil(end: number, check?: (daemon: Daemon) => void): void {
     for (; this.now < end; this.now += STEP_MS) {
       for (const daemon of this.daemons) {
-        const isDue = !daemon.isDead && this.now >= daemon.nextBeatAt;
-        if (isDue) this.#beat(daemon);
+        const isDue = !daemon.isDead && this.now >= daemon.nextHeartbeatAt;
+        if (isDue) this.#sendHeartbeats(daemon);
         if (!daemon.isDead) check?.(daemon);
       }
     }
   }
 
-  /** Returns those of its failure domain that the daemon misses, and all others that it knows but takes for dead. */
-  listTakenForDead({ self, fleet }: Daemon): string[] {
+  /**
+   * Returns the daemons that the daemon does not consider alive: all of its own
+   * failure domain, of others only those that it knows.
+   */
+  listConsideredDead({ self, fleet }: Daemon): string[] {
     return this.daemons.map((each) => each.self)
       .filter(({ id, failureDomain }) => {
-        const isNear = failureDomain === self.failureDomain;
-        const isWanted = isNear || fleet.getMember(id) !== undefined;
-        return isWanted && !fleet.isAlive(id, this.now);
+        const isLocal = failureDomain === self.failureDomain;
+        const isExpected = isLocal || fleet.getMember(id) !== undefined;
+        return isExpected && !fleet.isAlive(id, this.now);
       }).map((member) => member.id);
   }
 
-  #beat(daemon: Daemon): void {
+  #sendHeartbeats(daemon: Daemon): void {
     const { fleet } = daemon;
     const upMs = this.now - daemon.startsAt;
-    daemon.nextBeatAt = this.now + fleet.getIntervalMs(upMs, this.now);
+    daemon.nextHeartbeatAt = this.now + fleet.getIntervalMs(upMs, this.now);
     const targets = new Map(
       fleet.selectTargets(this.now).map((
         { member, isPromised },
@@ -108,13 +113,16 @@
       this.sentMessages += 1;
       this.sentBytes += JSON.stringify(heartbeat).length;
       const target = this.#byId.get(id);
-      const isHeard = target && !target.isDead && target !== daemon &&
+      const isDelivered = target && !target.isDead && target !== daemon &&
         this.now >= target.startsAt && this.#draw(0, 99) >= LOSS_PERCENT;
-      if (isHeard) this.#deliver(target, heartbeat);
+      if (isDelivered) this.#deliver(target, heartbeat);
     }
   }
 
-  /** As the gateway does, a daemon answers one that it did not know. */
+  /**
+   * Delivers a heartbeat. As in the gateway, a daemon replies to one that it
+   * did not know.
+   */
   #deliver(target: Daemon, heartbeat: Heartbeat): void {
     const isNew = target.fleet.recordHeartbeat(heartbeat, this.now);
     const sender = this.#byId.get(heartbeat.sender.id);
@@ -137,47 +145,52 @@
 }
 
 for (const size of SIZES) {
-  test(`${size.members} daemons know that they are many before they seek engines`, () => {
+  test(`${size.members} daemons know that their fleet is large before they claim engines`, () => {
     const fleet = new LargeFleet(size);
-    fleet.playUntil(8_000, (daemon) => {
-      const isSeeking = fleet.now - daemon.startsAt >= SETTLE_MS;
-      if (isSeeking) assert.not(daemon.fleet.isFullMesh(), daemon.self.id);
+    fleet.runUntil(8_000, (daemon) => {
+      const mayClaim = fleet.now - daemon.startsAt >= STARTUP_WAIT_MS;
+      if (mayClaim) assert.not(daemon.fleet.isFullMesh(), daemon.self.id);
     });
   });
 
-  test(`none of ${size.members} daemons is taken for dead while it lives, and one that dies is`, () => {
+  test(`none of ${size.members} daemons is considered dead while it is alive, and one that dies is`, () => {
     const fleet = new LargeFleet(size);
-    fleet.playUntil(WARM_MS);
-    fleet.playUntil(WARM_MS + 30_000, (daemon) => {
+    fleet.runUntil(WARMUP_MS);
+    fleet.runUntil(WARMUP_MS + 30_000, (daemon) => {
       if (fleet.now % CHECK_INTERVAL_MS !== 0) return;
-      assert.equal(fleet.listTakenForDead(daemon), [], daemon.self.id);
+      assert.equal(fleet.listConsideredDead(daemon), [], daemon.self.id);
     });
     const [victim] = fleet.daemons;
     if (!victim) throw new Error("expected daemons, got none");
     victim.isDead = true;
     let noticedMs = 0;
     const diedAt = fleet.now;
-    fleet.playUntil(diedAt + 30_000, ({ self, fleet: view }) => {
+    fleet.runUntil(diedAt + 30_000, ({ self, fleet: view }) => {
       if (!view.isAlive(victim.self.id, fleet.now)) return;
-      const isNear = self.failureDomain === victim.self.failureDomain;
-      if (isNear) noticedMs = fleet.now - diedAt;
+      const isLocal = self.failureDomain === victim.self.failureDomain;
+      if (isLocal) noticedMs = fleet.now - diedAt;
     });
     assert.ok(
       noticedMs <= size.deathNoticedMs,
-      `noticed after ${noticedMs} ms`,
+      `detected after ${noticedMs} ms`,
     );
   });
 }
 
-/** Time from a group member's death until all others of the group know: four heartbeats, one lost, and a step. */
+/**
+ * Time within which all other members of a group have to detect a member's
+ * death: four heartbeats, one that is lost, and a step.
+ */
 const GROUP_NOTICED_MS = 2_500;
-/** Share of the daemons that must agree, where a heartbeat of each may be late. */
+/**
+ * Share of the daemons that have to agree, as a heartbeat of each may be late.
+ */
 const AGREEING_SHARE = 0.99;
 
 for (const size of SIZES) {
-  test(`${size.members} daemons agree on who holds engines, and these hear each other`, () => {
+  test(`${size.members} daemons agree on the owners of engines, and the owner groups have a quorum`, () => {
     const fleet = new LargeFleet(size);
-    fleet.playUntil(WARM_MS);
+    fleet.runUntil(WARMUP_MS);
     const ids = fleet.daemons.map(({ self }) => self);
     let agreeing = 0;
     let asked = 0;
@@ -185,8 +198,10 @@
       for (let engine = 0; engine < 10; engine += 1) {
         const { failureDomain } = self;
         const described = { id: `engine-${engine}`, failureDomain };
-        const near = ids.filter((each) => each.failureDomain === failureDomain);
-        const group = selectOwnerGroup(failureDomain, near);
+        const local = ids.filter((each) =>
+          each.failureDomain === failureDomain
+        );
+        const group = selectOwnerGroup(failureDomain, local);
         const [wanted] = rankByRendezvous(described.id, group);
         const [ranked] = view.rankOwners(described, false, fleet.now);
         asked += 1;
@@ -194,53 +209,53 @@
       }
     }
     assert.ok(agreeing >= AGREEING_SHARE * asked, `${agreeing} of ${asked}`);
-    let deaf = 0;
-    fleet.playUntil(WARM_MS + 10_000, ({ self, fleet: view }) => {
-      const near = ids.filter((each) =>
+    let withoutQuorum = 0;
+    fleet.runUntil(WARMUP_MS + 10_000, ({ self, fleet: view }) => {
+      const local = ids.filter((each) =>
         each.failureDomain === self.failureDomain
       );
-      const group = selectOwnerGroup(self.failureDomain, near);
+      const group = selectOwnerGroup(self.failureDomain, local);
       if (!group.includes(self)) return;
-      if (!view.hasQuorum(self.failureDomain, fleet.now)) deaf += 1;
+      if (!view.hasQuorum(self.failureDomain, fleet.now)) withoutQuorum += 1;
     });
-    assert.is(deaf, 0);
+    assert.is(withoutQuorum, 0);
   });
 
-  test(`a group member's death among ${size.members} is known to the group within ${GROUP_NOTICED_MS} ms`, () => {
+  test(`a group member's death among ${size.members} daemons is detected by the group within ${GROUP_NOTICED_MS} ms`, () => {
     const fleet = new LargeFleet(size);
-    fleet.playUntil(WARM_MS);
+    fleet.runUntil(WARMUP_MS);
     const [first] = fleet.daemons;
     if (!first) throw new Error("expected daemons, got none");
     const { failureDomain } = first.self;
-    const near = fleet.daemons.filter(({ self }) =>
+    const local = fleet.daemons.filter(({ self }) =>
       self.failureDomain === failureDomain
     );
     const group = selectOwnerGroup(
       failureDomain,
-      near.map(({ self }) => self),
+      local.map(({ self }) => self),
     );
-    const mates = near.filter(({ self }) => group.includes(self));
-    const [victim, ...others] = mates;
+    const groupDaemons = local.filter(({ self }) => group.includes(self));
+    const [victim, ...others] = groupDaemons;
     if (!victim) throw new Error("expected a group, got none");
     victim.isDead = true;
-    fleet.playUntil(WARM_MS + GROUP_NOTICED_MS);
+    fleet.runUntil(WARMUP_MS + GROUP_NOTICED_MS);
     for (const { self, fleet: view } of others) {
       assert.not(view.isAlive(victim.self.id, fleet.now), self.id);
     }
   });
 }
 
-test("what a daemon sends for control grows by less than a quarter from 75 to 300 daemons", () => {
+test("a daemon's control traffic grows by less than a quarter from 75 to 300 daemons", () => {
   const [small, large] = [75, 300].map((members) => {
     const fleet = new LargeFleet({ members, failureDomains: 5 });
-    fleet.playUntil(WARM_MS);
+    fleet.runUntil(WARMUP_MS);
     fleet.sentBytes = 0;
-    fleet.playUntil(WARM_MS + 10_000);
+    fleet.runUntil(WARMUP_MS + 10_000);
     return fleet.sentBytes / 10 / members;
   });
   if (small === undefined || large === undefined) throw new Error("expected 2");
-  assert.ok(large < 1.25 * small, `${small} and ${large} bytes a second`);
-  console.log(`bytes a second: ${small} at 75, ${large} at 300`);
+  assert.ok(large < 1.25 * small, `${small} and ${large} bytes per second`);
+  console.log(`bytes per second: ${small} at 75 daemons, ${large} at 300`);
 });
 
 test.run();
--- a/test/core/fleet/pause_detector_test.ts
+++ b/test/core/fleet/pause_detector_test.ts
@@ -1,16 +1,16 @@
-/** A suspension that the monotonic clock does not count is noticed. */
+/** Detection of a suspension that the monotonic clock does not count. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { PauseDetector } from "../../../src/core/fleet/pause_detector.ts";
 
-test("a suspension shows once, in the wall clock", () => {
+test("a suspension is detected once, by the wall clock", () => {
   const detector = new PauseDetector(0, 1_000_000);
   assert.not(detector.hasPaused(100, 1_000_101));
   assert.ok(detector.hasPaused(110, 1_003_611));
   assert.not(detector.hasPaused(120, 1_003_621));
 });
 
-test("work that takes long counts in both clocks", () => {
+test("a long-running task advances both clocks and is not a pause", () => {
   const detector = new PauseDetector(0, 1_000_000);
   assert.not(detector.hasPaused(5_000, 1_005_002));
 });
--- a/test/core/ordering/owner_roles_test.ts
+++ b/test/core/ordering/owner_roles_test.ts
@@ -1,4 +1,8 @@
-/** Which engines a daemon holds or observes: nearby ones at first, then by rank, kept while it lives. */
+/**
+ * Which engines a daemon owns or observes: at first those of its failure
+ * domain, later those for which it ranks first; an owner keeps its engine while
+ * it is alive.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { FleetView } from "../../../src/core/fleet/fleet_view.ts";
@@ -15,7 +19,7 @@
   fetchesPerEngine: 1,
   isAtHostShare: false,
 };
-const SETTLED_MS = 3_000;
+const STARTED_MS = 3_000;
 
 function createRoles() {
   const fleet = new FleetView(SELF);
@@ -23,13 +27,13 @@
   const describe = (
     engine: { id: string; failureDomain: string } | undefined,
     now: number,
-    part: { isHolding?: boolean; isStopping?: boolean } = {},
+    part: { isOwner?: boolean; isStopping?: boolean } = {},
   ) =>
     roles.describeContext({
       engine,
       holder: {
         engineId: engine?.id ?? "gone",
-        isOwner: () => part.isHolding ?? false,
+        isOwner: () => part.isOwner ?? false,
         observedAt: undefined,
       },
       fetchShare: FETCH_SHARE,
@@ -38,7 +42,7 @@
   return { fleet, roles, describe };
 }
 
-/** Finds an engine that the daemon should hold, or not, of two that are heard. */
+/** Finds an engine that this daemon, or its peer, should own. */
 function findEngine(fleet: FleetView, isOwn: boolean, now: number) {
   for (let index = 0; index < 100; index += 1) {
     const engine = { id: `e${index}`, failureDomain: "a" };
@@ -48,57 +52,57 @@
   throw new Error("expected an engine of each rank among 100");
 }
 
-test("right after the start engines nearby are observed, and none is claimed", () => {
+test("right after the start engines of the own failure domain are observed, and none is claimed", () => {
   const { describe } = createRoles();
-  const near = describe({ id: "e", failureDomain: "a" }, 100);
-  assert.ok(near.isCandidate);
-  assert.not(near.isDesiredOwner);
-  assert.not(near.fetchShare.canFetch);
+  const local = describe({ id: "e", failureDomain: "a" }, 100);
+  assert.ok(local.isCandidate);
+  assert.not(local.isDesiredOwner);
+  assert.not(local.fetchShare.canFetch);
   assert.not(describe({ id: "e", failureDomain: "b" }, 100).isCandidate);
 });
 
-test("an engine that is held already right after the start is loaded at once", () => {
+test("an engine that is already owned right after the start is loaded at once", () => {
   const { describe } = createRoles();
   const engine = { id: "e", failureDomain: "a" };
-  const held = describe(engine, 1_100, { isHolding: true });
+  const held = describe(engine, 1_100, { isOwner: true });
   assert.ok(held.isDesiredOwner && held.fetchShare.canFetch);
 });
 
-test("later the ranking decides, and both first observe what nobody holds", () => {
+test("later the ranking decides, and the first two daemons observe an engine without an owner", () => {
   const { fleet, describe } = createRoles();
-  fleet.recordHeartbeat(buildHeartbeat(PEER), SETTLED_MS);
-  const own = describe(findEngine(fleet, true, SETTLED_MS), SETTLED_MS);
+  fleet.recordHeartbeat(buildHeartbeat(PEER), STARTED_MS);
+  const own = describe(findEngine(fleet, true, STARTED_MS), STARTED_MS);
   assert.ok(own.isDesiredOwner && own.isCandidate && own.hasQuorum);
-  const other = describe(findEngine(fleet, false, SETTLED_MS), SETTLED_MS);
+  const other = describe(findEngine(fleet, false, STARTED_MS), STARTED_MS);
   assert.not(other.isDesiredOwner);
   assert.ok(other.isCandidate);
 });
 
-test("a holder keeps what it should not hold, until the preferred one holds it too", () => {
+test("an owner that does not rank first keeps the engine until the first one owns it too", () => {
   const { fleet, describe } = createRoles();
-  fleet.recordHeartbeat(buildHeartbeat(PEER), SETTLED_MS);
-  const engine = findEngine(fleet, false, SETTLED_MS);
-  assert.ok(describe(engine, SETTLED_MS, { isHolding: true }).isDesiredOwner);
+  fleet.recordHeartbeat(buildHeartbeat(PEER), STARTED_MS);
+  const engine = findEngine(fleet, false, STARTED_MS);
+  assert.ok(describe(engine, STARTED_MS, { isOwner: true }).isDesiredOwner);
   const heldEngines = [engine.id];
   fleet.recordHeartbeat(
     buildHeartbeat(PEER, { beat: 2, incarnation: "2", heldEngines }),
-    SETTLED_MS + 200,
+    STARTED_MS + 200,
   );
-  const later = describe(engine, SETTLED_MS + 400, { isHolding: true });
+  const later = describe(engine, STARTED_MS + 400, { isOwner: true });
   assert.not(later.isDesiredOwner);
 });
 
-test("a daemon that stops, and an engine that is gone, are no candidates", () => {
+test("a daemon that stops is no candidate, and an engine that is gone has none", () => {
   const { describe } = createRoles();
   const engine = { id: "e", failureDomain: "a" };
-  assert.not(describe(engine, SETTLED_MS, { isStopping: true }).isCandidate);
-  assert.not(describe(undefined, SETTLED_MS).isCandidate);
+  assert.not(describe(engine, STARTED_MS, { isStopping: true }).isCandidate);
+  assert.not(describe(undefined, STARTED_MS).isCandidate);
 });
 
-test("what was held soon after the start is told for a while", () => {
+test("engines owned soon after the start are reported for a while", () => {
   const { roles } = createRoles();
-  const holder = { engineId: "e", isOwner: () => true, observedAt: 0 };
-  roles.recordOwned(holder, 5_000);
+  const owner = { engineId: "e", isOwner: () => true, observedAt: 0 };
+  roles.recordOwned(owner, 5_000);
   assert.equal(roles.listOwnedSinceStart(5_001), ["e"]);
   assert.is(roles.listOwnedSinceStart(15_000), undefined);
 });
--- a/test/core/ordering/run_adoption_test.ts
+++ b/test/core/ordering/run_adoption_test.ts
@@ -1,9 +1,9 @@
-/** A new holder and what the daemons tell it of their runs. */
+/** A new owner and the runs that the daemons report to it. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { RunAdoption } from "../../../src/core/ordering/run_adoption.ts";
 
-test("it is complete once every daemon has told of all its runs, in any order", () => {
+test("adoption is complete once every daemon has reported all its runs, in any order", () => {
   const adoption = new RunAdoption();
   adoption.begin(["a", "b"]);
   adoption.recordReported("a", 0, 0);
@@ -15,7 +15,7 @@
   assert.ok(adoption.isComplete());
 });
 
-test("where not all daemons are known it never is", () => {
+test("adoption is never complete if not all daemons are known", () => {
   const adoption = new RunAdoption();
   assert.not(adoption.isComplete());
   adoption.begin(undefined);
@@ -23,7 +23,7 @@
   assert.not(adoption.isComplete());
 });
 
-test("a new holder starts anew", () => {
+test("beginning a new adoption discards earlier reports", () => {
   const adoption = new RunAdoption();
   adoption.begin(["a"]);
   adoption.recordReported("a", 0, 0);
--- a/test/fuzz/mutants.ts
+++ b/test/fuzz/mutants.ts
@@ -305,9 +305,9 @@
     promise: FuzzPromise.OneHolder,
     patches: [{
       file: "ordering/proving_order.ts",
-      search: "const own = selectVictim(situation, listOwnShare(situation));",
+      search: "const own = selectVictim(input, listOwnShare(input));",
       replacement:
-        "const own = selectVictim(situation, situation.idlePaths.slice(0, 1));",
+        "const own = selectVictim(input, input.idlePaths.slice(0, 1));",
     }],
   },
 ];
--- a/test/fuzz/order_oracle.ts
+++ b/test/fuzz/order_oracle.ts
@@ -1,6 +1,10 @@
-/** Judges the orders that one engine accepted as the users' rules do: no turns within a term, numbers that rise. */
+/**
+ * Checks the orders that one engine accepted against the users' rules: owners
+ * do not alternate within a term, and fencing numbers increase from owner to
+ * owner.
+ */
 
-/** An order as the engine accepted it. */
+/** An order that the engine accepted. */
 export interface AcceptedOrder {
   daemon: number | string;
   fence: number;
@@ -23,12 +27,14 @@
   check(order: AcceptedOrder): void {
     const last = this.#orders.at(-1);
     if (last && last.daemon !== order.daemon) {
-      const hasTurned = this.#orders.some((earlier) =>
+      const hasAlternated = this.#orders.some((earlier) =>
         earlier.daemon === order.daemon && order.at - earlier.at < this.#termMs
       );
-      if (hasTurned) this.violations.push(`turns at ${order.at}`);
+      if (hasAlternated) this.violations.push(`alternation at ${order.at}`);
       if (order.fence <= this.#highestFence.fence) {
-        this.violations.push(`fence ${order.fence} not above at ${order.at}`);
+        this.violations.push(
+          `fencing number ${order.fence} does not increase at ${order.at}`,
+        );
       }
     }
     if (order.fence > this.#highestFence.fence) this.#highestFence = order;
--- a/test/fuzz/tenure_fuzz_test.ts
+++ b/test/fuzz/tenure_fuzz_test.ts
@@ -1,13 +1,13 @@
 /**
- * Several daemons seek the right to order one engine while they are cut off,
- * frozen, killed and restarted, the engine restarts, and orders, answers and
- * reports are late or lost. An oracle judges every accepted order: holders do
- * not take turns within a term, fencing numbers rise, slots are not exceeded.
- * In another third all daemons start at once now and then, and say in heartbeats
- * that they are new.
- * In a third of the runs the engine starts without its base model, whose load is
- * confirmed whatever it expects, and no daemon hears a majority, as in a large
- * fleet.
+ * Several daemons compete for the ownership of one engine while they are
+ * partitioned, paused, killed and restarted, the engine restarts, and orders,
+ * answers and reports are late or lost. An oracle checks every accepted order:
+ * owners must not alternate within a term, fencing numbers must increase, and
+ * the adapter slots must not be exceeded. In a third of the runs all daemons
+ * occasionally start at once, and report in heartbeats that they have recently
+ * started. In another third the engine starts without its base model, whose
+ * load it confirms whatever the order expects, and no daemon has a quorum, as
+ * in a large fleet.
  */
 import process from "node:process";
 import { test } from "uvu";
@@ -34,15 +34,27 @@
 const DAEMONS = 3;
 const RUN_MS = 60_000;
 const STEP_MS = 20;
-/** Time of a load, during which its repetition is confirmed. */
+/** Duration of a load, in which the engine confirms the same order again. */
 const LOAD_MS = 260;
-/** Time of the load of a base model: the grown sites' sheets give 0.6 and 2.9 s. */
+/**
+ * Duration of a base model's load: the users' data sheets of their larger sites
+ * give 0.6 and 2.9 s.
+ */
 const MODEL_LOAD_MS = 600;
-/** Adapters that are asked for: few, so that two daemons often want the same. */
+/**
+ * Number of adapters that are requested: few, so that two daemons often want
+ * the same.
+ */
 const ADAPTERS = 5;
-/** Shortest time in which an engine is back after a crash; the days play two seconds and more. */
+/**
+ * Minimum downtime of an engine after a crash; the users' scenarios have two
+ * seconds and more.
+ */
 const RESTART_MS = 1_500;
-/** Seeds of CI; by hand, `TENURE_RUNS=2000` and `TENURE_SEED=…` draw others. */
+/**
+ * Number of seeds in CI; to run others by hand, set `TENURE_RUNS=2000` and
+ * `TENURE_SEED=…`.
+ */
 const RUNS = Number(process.env.TENURE_RUNS ?? 60);
 const FIRST_SEED = Number(process.env.TENURE_SEED ?? 1);
 
@@ -50,23 +62,30 @@
   { length: DAEMONS },
   (_, index) => createMember(index),
 );
-const RIVALS = MEMBERS.map(({ id }) => id);
+const CLAIMANTS = MEMBERS.map(({ id }) => id);
 const SEED_IPS = MEMBERS.map(({ ip }) => ip);
 
 type GiveOrder = Extract<EngineOwnerEffect, { kind: "giveOrder" }>;
 
-/** An engine that ignores fencing but compares the expected count. */
+/** Model of an engine that ignores fencing but compares the expected count. */
 class ModelEngine {
   sequence = 0;
   bornAtUnixMs = 1;
-  /** Adapters that it holds or loads, with the time at which each is there. */
+  /**
+   * Adapters that it has or is loading, with the time at which each is loaded.
+   */
   readonly adapters = new Map<string, number>();
   readonly oracle: OrderOracle;
   /** Whether it starts without its base model. */
   readonly #startsEmpty: boolean;
-  /** When the base model is there; undefined while nobody has ordered it. */
+  /**
+   * When the base model is loaded; undefined while no daemon has ordered it.
+   */
   #modelReadyAt: number | undefined;
-  /** It answers nothing while it is down: a restart takes this long at the least. */
+  /**
+   * Until when it is down and does not answer; a restart takes at least this
+   * long.
+   */
   #downUntil = 0;
   #history: { at: number; report: Omit<ContentsReport, "readAt" | "ageMs"> }[] =
     [];
@@ -83,10 +102,12 @@
     const { adapterPath, adapter, kind } = order.order;
     if (adapter === "") return this.#orderModel(daemon, order, at);
     if (!this.#hasModel(at)) return { kind: "conflict" };
-    // As the platform's replicas do: a load under way is confirmed whatever is expected.
+    // A load in progress is confirmed whatever the order expects, as by the
+    // platform's replicas.
     const isLoading = kind === "load" &&
       (this.adapters.get(adapterPath) ?? 0) > at;
-    // So is the eviction of an adapter that it does not hold, or not yet: it stays on its way.
+    // So is the eviction of an adapter that it does not have, or is still
+    // loading: that load continues.
     const isGone = kind === "evict" &&
       (this.adapters.get(adapterPath) ?? Number.POSITIVE_INFINITY) > at;
     if (isLoading || isGone) {
@@ -104,7 +125,10 @@
     return { kind: "accepted" };
   }
 
-  /** The load of a base model that is under way or done is confirmed, too. */
+  /**
+   * Confirms the load of a base model that is in progress or done, whatever the
+   * order expects.
+   */
   #orderModel(daemon: number, order: GiveOrder, at: number): OrderAnswer {
     if (this.#modelReadyAt === undefined) {
       if (order.expectedSequence !== this.sequence) return { kind: "conflict" };
@@ -150,7 +174,7 @@
     });
   }
 
-  /** Returns the state as of some time ago. */
+  /** Returns the state as of `lagMs` before the read. */
   report(readAt: number, lagMs: number): ContentsReport {
     const seen = this.#history.filter((each) => each.at <= readAt - lagMs)
       .at(-1) ?? this.#history[0];
@@ -160,8 +184,8 @@
   }
 }
 
-/** Period of heartbeats. */
-const BEAT_MS = 400;
+/** Heartbeat period. */
+const HEARTBEAT_MS = 400;
 const ENGINE_ID = "engine";
 const ENGINE = { id: ENGINE_ID, failureDomain: "a" };
 
@@ -171,9 +195,12 @@
 }
 
 interface RunOptions {
-  /** Whether the fleet is too large to hear a majority, and the engine starts empty. */
+  /**
+   * Whether the fleet is too large for a quorum, and the engine starts without
+   * its base model.
+   */
   isLarge: boolean;
-  /** Whether now and then all daemons start at once. */
+  /** Whether all daemons occasionally start at once. */
   restartsFleet: boolean;
 }
 
@@ -185,7 +212,7 @@
   };
 }
 
-function playRun(
+function simulateRun(
   seed: number,
   { isLarge, restartsFleet }: RunOptions,
 ): string[] {
@@ -197,24 +224,24 @@
   const oracle = new OrderOracle(TERM_MS);
   const engine = new ModelEngine(oracle, isLarge);
   let deliveries: Delivery[] = [];
-  const holders: EngineOwner[] = [];
-  const lives: number[] = [];
+  const owners: EngineOwner[] = [];
+  const incarnations: number[] = [];
   const downUntil: number[] = [];
-  const cutUntil: number[] = [];
-  const wanted: boolean[] = [];
-  const skews = Array.from({ length: DAEMONS }, () => draw(-400, 400));
+  const partitionedUntil: number[] = [];
+  const desired: boolean[] = [];
+  const clockSkews = Array.from({ length: DAEMONS }, () => draw(-400, 400));
   const startedAt: number[] = [];
-  const hasHeld: boolean[] = [];
+  const hasOwned: boolean[] = [];
   const views: FleetView[] = [];
   const startDaemon = (index: number, at: number): void => {
     startedAt[index] = at;
-    hasHeld[index] = false;
+    hasOwned[index] = false;
     views[index] = new FleetView(createMember(index));
     const fences = new FenceClock(`daemon ${index}`);
-    lives[index] = (lives[index] ?? 0) + 1;
-    holders[index] = new EngineOwner({
+    incarnations[index] = (incarnations[index] ?? 0) + 1;
+    owners[index] = new EngineOwner({
       selfId: `daemon ${index}`,
-      listClaimants: () => RIVALS,
+      listClaimants: () => CLAIMANTS,
       engineId: ENGINE_ID,
       limits: {
         adapterSlots: SLOTS,
@@ -230,21 +257,22 @@
       },
       termMs: TERM_MS,
       selectOwnAdapter: () => `own${index}`,
-      drawFence: () => fences.drawFence(1_000_000 + now + (skews[index] ?? 0)),
+      drawFence: () =>
+        fences.drawFence(1_000_000 + now + (clockSkews[index] ?? 0)),
     });
     downUntil[index] = at;
   };
   let now = 0;
   for (let index = 0; index < DAEMONS; index += 1) {
     startDaemon(index, 0);
-    wanted[index] = true;
-    cutUntil[index] = 0;
+    desired[index] = true;
+    partitionedUntil[index] = 0;
   }
   const carryOut = (index: number, effects: EngineOwnerEffect[]): void => {
-    const life = lives[index];
-    const isSame = () => lives[index] === life;
+    const incarnation = incarnations[index];
+    const isSameIncarnation = () => incarnations[index] === incarnation;
     for (const effect of effects) {
-      const isLost = draw(0, 99) < 6 || (cutUntil[index] ?? 0) > now;
+      const isLost = draw(0, 99) < 6 || (partitionedUntil[index] ?? 0) > now;
       const arrivesAt = now + draw(1, 30);
       const answersAt = arrivesAt + draw(1, 30);
       if (effect.kind === "readReport") {
@@ -254,12 +282,12 @@
         deliveries.push({
           at: answersAt,
           run: (at) => {
-            if (!isSame()) return;
-            if (isUnread) holders[index]?.recordReportFailure();
+            if (!isSameIncarnation()) return;
+            if (isUnread) owners[index]?.recordReportFailure();
             else {
               carryOut(
                 index,
-                holders[index]?.recordReport({ ...report, readAt }, at) ?? [],
+                owners[index]?.recordReport({ ...report, readAt }, at) ?? [],
               );
             }
           },
@@ -272,16 +300,16 @@
             const answer: OrderAnswer = isNeverSent
               ? { kind: "unanswered", detail: "cut" }
               : engine.order(index, effect, at);
-            const told: OrderAnswer = isLost
+            const received: OrderAnswer = isLost
               ? { kind: "unanswered", detail: "lost" }
               : answer;
             deliveries.push({
               at: answersAt,
               run: (later) => {
-                if (!isSame()) return;
+                if (!isSameIncarnation()) return;
                 carryOut(
                   index,
-                  holders[index]?.recordOrderAnswer(told, later) ?? [],
+                  owners[index]?.recordOrderAnswer(received, later) ?? [],
                 );
               },
             });
@@ -290,18 +318,24 @@
       }
     }
   };
-  const isNewcomer = (index: number): boolean =>
+  const isRecentlyStarted = (index: number): boolean =>
     now - (startedAt[index] ?? 0) < RECENTLY_STARTED_MS;
-  const listHeldBefore = (index: number): string[] =>
-    hasHeld[index] ? [ENGINE_ID] : [];
-  /** Tells the others, late or not at all where links are cut. */
-  const sendWord = (index: number): void => {
+  const listOwnedBefore = (index: number): string[] =>
+    hasOwned[index] ? [ENGINE_ID] : [];
+  /**
+   * Sends a heartbeat to the other daemons, late, or not at all where links are
+   * cut.
+   */
+  const sendHeartbeat = (index: number): void => {
     const heartbeat = buildHeartbeat(createMember(index), {
-      newcomerHeld: isNewcomer(index) ? listHeldBefore(index) : undefined,
+      newcomerHeld: isRecentlyStarted(index)
+        ? listOwnedBefore(index)
+        : undefined,
     });
     for (let other = 0; other < DAEMONS; other += 1) {
-      const isLost = drawFleet(0, 99) < 6 || (cutUntil[index] ?? 0) > now ||
-        (cutUntil[other] ?? 0) > now;
+      const isLost = drawFleet(0, 99) < 6 ||
+        (partitionedUntil[index] ?? 0) > now ||
+        (partitionedUntil[other] ?? 0) > now;
       if (other === index || isLost) continue;
       const view = views[other];
       deliveries.push({
@@ -310,9 +344,10 @@
       });
     }
   };
-  const isUnheld = (index: number): boolean => {
-    const since = holders[index]?.observedAt;
-    const mayAsk = since !== undefined && isNewcomer(index) && !hasHeld[index];
+  const isUnowned = (index: number): boolean => {
+    const since = owners[index]?.observedAt;
+    const mayAsk = since !== undefined && isRecentlyStarted(index) &&
+      !hasOwned[index];
     return mayAsk &&
       views[index]?.isUnowned(ENGINE, { since, seedIps: SEED_IPS }, now) ===
         true;
@@ -330,14 +365,14 @@
       }
     }
     for (let index = 0; index < DAEMONS; index += 1) {
-      if (draw(0, 399) === 0) wanted[index] = !wanted[index];
-      if (draw(0, 599) === 0) cutUntil[index] = now + draw(100, 6_000);
+      if (draw(0, 399) === 0) desired[index] = !desired[index];
+      if (draw(0, 599) === 0) partitionedUntil[index] = now + draw(100, 6_000);
       if (draw(0, 599) === 0) downUntil[index] = now + draw(100, 5_000);
       if (draw(0, 799) === 0) startDaemon(index, now + draw(50, 1_500));
       if ((downUntil[index] ?? 0) > now) continue;
-      const holder = holders[index];
-      if (!holder) continue;
-      if ((now + index * 100) % BEAT_MS === 0) sendWord(index);
+      const owner = owners[index];
+      if (!owner) continue;
+      if ((now + index * 100) % HEARTBEAT_MS === 0) sendHeartbeat(index);
       if (draw(0, 9) === 0) {
         permits += 1;
         const adapter = `a${draw(1, ADAPTERS)}`;
@@ -357,16 +392,16 @@
           lifetimeMs: draw(50, 1_500),
           isLastChoice: true,
         };
-        // As the gateway does, only a holder is asked.
-        if (holder.isOwner()) {
-          carryOut(index, holder.requestPermit(request, now));
+        // As in the gateway, only an owner is asked for permits.
+        if (owner.isOwner()) {
+          carryOut(index, owner.requestPermit(request, now));
         }
       }
-      const situation = {
-        isDesiredOwner: wanted[index] ?? false,
+      const context = {
+        isDesiredOwner: desired[index] ?? false,
         isCandidate: true,
         hasQuorum: !isLarge,
-        isUnowned: !isLarge && isUnheld(index),
+        isUnowned: !isLarge && isUnowned(index),
         peers: undefined,
         fetchShare: {
           fleetFetches: 0,
@@ -377,8 +412,8 @@
           fetchesPerEngine: 1,
         },
       };
-      carryOut(index, holder.tick(situation, now));
-      if (holder.isOwner()) hasHeld[index] = true;
+      carryOut(index, owner.tick(context, now));
+      if (owner.isOwner()) hasOwned[index] = true;
     }
   }
   return oracle.violations;
@@ -386,17 +421,26 @@
 
 for (let seed = FIRST_SEED; seed < FIRST_SEED + RUNS; seed += 1) {
   test(`holders keep the rules, seed ${seed}`, () => {
-    assert.equal(playRun(seed, { isLarge: false, restartsFleet: false }), []);
+    assert.equal(
+      simulateRun(seed, { isLarge: false, restartsFleet: false }),
+      [],
+    );
   });
   test(`holders keep them when the whole fleet starts again, seed ${seed}`, () => {
-    assert.equal(playRun(seed, { isLarge: false, restartsFleet: true }), []);
+    assert.equal(
+      simulateRun(seed, { isLarge: false, restartsFleet: true }),
+      [],
+    );
   });
   test(`holders of empty engines in a large fleet keep them, seed ${seed}`, () => {
-    assert.equal(playRun(seed, { isLarge: true, restartsFleet: false }), []);
+    assert.equal(
+      simulateRun(seed, { isLarge: true, restartsFleet: false }),
+      [],
+    );
   });
 }
 
-test("the oracle sees turns, fences that fall and slots that are exceeded", () => {
+test("the oracle detects owners that alternate within a term and fencing numbers that do not increase", () => {
   const oracle = new OrderOracle(TERM_MS);
   oracle.check({ daemon: 0, fence: 5, at: 0 });
   oracle.check({ daemon: 1, fence: 6, at: 300 });
