--- a/src/core/fleet/fleet_view.ts
+++ b/src/core/fleet/fleet_view.ts
@@ -124,7 +124,7 @@
   lastHeartbeatAt: Milliseconds;
   /**
    * Time within which it promised the next heartbeat; undefined if it made no
-   * promise or does not keep it.
+   * promise or no longer keeps it.
    */
   promisedMs: Milliseconds | undefined;
   /**
@@ -599,8 +599,8 @@
   }
 
   /**
-   * In a large fleet, updates about a member are infrequent unless it promised
-   * more.
+   * Returns whether the member is known to be alive. In a large fleet, updates
+   * about it are infrequent unless it promised heartbeats.
    */
   #isAlive(known: KnownMember, now: Milliseconds): boolean {
     if (known.isUnreachable) return false;
--- a/src/core/ordering/engine_ownership.ts
+++ b/src/core/ordering/engine_ownership.ts
@@ -369,18 +369,18 @@
     now: Milliseconds,
   ): void {
     if (this.#state.kind !== "holding") return;
-    const isBlind = evidence === OrderEvidence.Inconclusive;
+    const isInconclusive = evidence === OrderEvidence.Inconclusive;
     switch (answer.kind) {
       case "accepted":
         this.#state = {
           ...this.#state,
           sequence: this.#state.sequence + 1,
-          acceptedAt: isBlind ? Number.NEGATIVE_INFINITY : sentAt,
+          acceptedAt: isInconclusive ? Number.NEGATIVE_INFINITY : sentAt,
           countedAt: evidence === OrderEvidence.Load
             ? sentAt
             : this.#state.countedAt,
           verifiedAt: sentAt,
-          ordersFrom: isBlind
+          ordersFrom: isInconclusive
             ? now + CONTESTED_WINDOW_MS + this.#options.termMs + TERM_MARGIN_MS
             : sentAt,
         };
--- a/src/core/ordering/ownership_state.ts
+++ b/src/core/ordering/ownership_state.ts
@@ -101,7 +101,8 @@
    */
   | { kind: "accepted"; isDraining?: boolean }
   /**
-   * The engine had already loaded it; whether the order was counted is unknown.
+   * The engine already had the adapter or model; whether the order was counted
+   * is unknown.
    */
   | { kind: "alreadyHeld" }
   /**
--- a/test/core/fleet/fleet_view_test.ts
+++ b/test/core/fleet/fleet_view_test.ts
@@ -41,9 +41,9 @@
 
 test("members known from gossip are sent heartbeats, but are alive only once heard", () => {
   const fleet = new FleetView(createMember("1"));
-  const named: GossipEntry = ["3", "10.0.0.3", "a", 1];
+  const entry: GossipEntry = ["3", "10.0.0.3", "a", 1];
   fleet.recordHeartbeat(
-    buildHeartbeat(createMember("2"), { sample: [named] }),
+    buildHeartbeat(createMember("2"), { sample: [entry] }),
     0,
   );
   assert.ok(fleet.selectTargets(10).some(({ member }) => member.id === "3"));
@@ -130,7 +130,7 @@
   const peers = group.filter((member) => member.id !== "self");
   const others = members.filter((member) => !peers.includes(member));
   const fleet = new FleetView(self);
-  const named = (member: FleetMember): GossipEntry => [
+  const toEntry = (member: FleetMember): GossipEntry => [
     member.id,
     member.ip,
     member.failureDomain,
@@ -138,7 +138,7 @@
   ];
   fleet.recordHeartbeat(
     buildHeartbeat(createMember("distant", "b"), {
-      sample: members.map(named),
+      sample: members.map(toEntry),
     }),
     0,
   );
--- a/test/core/ordering/engine_ownership_test.ts
+++ b/test/core/ordering/engine_ownership_test.ts
@@ -97,7 +97,7 @@
   assert.not(late.claim(UNOWNED, 710), "another daemon has ordered");
 });
 
-test("an engine without orders is claimed at once", () => {
+test("an engine without orders is claimed at once by a daemon with a quorum", () => {
   const ownership = createOwnership();
   recordReport(ownership, 0, 0);
   assert.ok(ownership.claim(MAJORITY, 1));
--- a/test/fuzz/tenure_fuzz_test.ts
+++ b/test/fuzz/tenure_fuzz_test.ts
@@ -323,8 +323,8 @@
   const listOwnedBefore = (index: number): string[] =>
     hasOwned[index] ? [ENGINE_ID] : [];
   /**
-   * Sends a heartbeat to the other daemons, late, or not at all where links are
-   * cut.
+   * Sends a heartbeat to the other daemons, late, or not at all where the
+   * network is partitioned.
    */
   const sendHeartbeat = (index: number): void => {
     const heartbeat = buildHeartbeat(createMember(index), {
