--- a/src/core/ordering/owner_roles.ts
+++ b/src/core/ordering/owner_roles.ts
@@ -67,13 +67,13 @@
   describeContext(
     from: {
       engine: EngineIdentity | undefined;
-      holder: OwnershipStatus;
+      owner: OwnershipStatus;
       fetchShare: FetchShare;
       isStopping: boolean;
     },
     now: Milliseconds,
   ): OwnershipContext {
-    const { engine, holder: owner, fetchShare, isStopping } = from;
+    const { engine, owner, fetchShare, isStopping } = from;
     const { fleet, startedAt } = this.#options;
     const isUnowned = engine !== undefined &&
       this.#isUnowned(engine, owner, now);
--- a/src/gateway/engine_task.ts
+++ b/src/gateway/engine_task.ts
@@ -278,7 +278,7 @@
     const now = performance.now();
     this.#nextTickAt = Number.POSITIVE_INFINITY;
     this.#checkPause(now);
-    this.permits.retryUndeliveredReturns(now);
+    this.permits.retryUndeliveredReleases(now);
     this.permits.reportRunsToNewOwners(now);
     this.#updateRoles(now);
     for (const engineId of this.#activeEngines) {
@@ -369,7 +369,7 @@
   ): OwnershipContext {
     return this.#roles.describeContext({
       engine: this.#options.view.getUpstream(owner.engineId),
-      holder: owner,
+      owner,
       fetchShare,
       isStopping: this.#isStopping,
     }, now);
--- a/src/gateway/permit_client.ts
+++ b/src/gateway/permit_client.ts
@@ -242,7 +242,7 @@
   }
 
   /** Retries the permit releases that did not reach their owners. */
-  retryUndeliveredReturns(now: Milliseconds): void {
+  retryUndeliveredReleases(now: Milliseconds): void {
     if (now - this.#lastReleaseRetryAt < RELEASE_RETRY_INTERVAL_MS) return;
     this.#lastReleaseRetryAt = now;
     const isAlive = (id: string) => this.#options.fleet.isAlive(id, now);
--- a/test/core/ordering/owner_roles_test.ts
+++ b/test/core/ordering/owner_roles_test.ts
@@ -31,7 +31,7 @@
   ) =>
     roles.describeContext({
       engine,
-      holder: {
+      owner: {
         engineId: engine?.id ?? "gone",
         isOwner: () => part.isOwner ?? false,
         observedAt: undefined,
