--- a/src/core/daemon_core.ts
+++ b/src/core/daemon_core.ts
@@ -14,7 +14,7 @@
 import type { Effect } from "./effects.ts";
 import type { CoreEvent, RequestArrivedEvent } from "./events.ts";
 import { RequestExecutor } from "./execution/request_executor.ts";
-import { TicketBook } from "./execution/ticket_book.ts";
+import { TicketIssuer } from "./execution/ticket_book.ts";
 import { CrashQuarantine } from "./limits/crash_quarantine.ts";
 import { RetryBudget } from "./limits/retry_budget.ts";
 import { Membership } from "./membership/membership.ts";
@@ -66,7 +66,7 @@
   readonly #membership: Membership;
   readonly #quarantine: CrashQuarantine;
   readonly #store: StorePermitClient;
-  readonly #tickets: TicketBook;
+  readonly #tickets: TicketIssuer;
   readonly #executor: RequestExecutor;
   readonly #ownership: OwnedUpstreams;
   readonly #control: ControlPlane;
@@ -119,7 +119,7 @@
       publishEvictions: (evictions) =>
         this.#control.publishEvictions(evictions),
     });
-    this.#tickets = new TicketBook({
+    this.#tickets = new TicketIssuer({
       selfId,
       incarnation,
       secret: options.ticketSecret,
@@ -233,12 +233,12 @@
         this.#receive(event.from, event.message, now);
         break;
       case "upstreamStateRead":
-        if (this.#executor.handleExamination(event, now)) break;
+        if (this.#executor.handleStateRead(event, now)) break;
         this.#ownership.getOwner(event.upstreamId)
           ?.recordState(event.readId, event.state, now);
         break;
       case "upstreamStateUnread":
-        if (this.#executor.handleExamination(event, now)) break;
+        if (this.#executor.handleStateRead(event, now)) break;
         this.#ownership.getOwner(event.upstreamId)
           ?.recordStateReadFailure(event.readId, event.isRefused, now);
         break;
--- a/src/core/execution/attempt_examiner.ts
+++ b/src/core/execution/attempt_examiner.ts
@@ -8,27 +8,27 @@
 /** An attempt in progress, with what it was started for. */
 export interface RunningAttempt extends LiveAttempt {
   request: LiveRequest;
-  holdingKey: string;
+  groupKey: string;
 }
 
-interface ExaminedAttempt extends RunningAttempt {
+interface CrashCheck extends RunningAttempt {
   /** Absent once the request has had its final answer. */
   retry: RetryReason | undefined;
   /** Readings that have been asked for. */
-  readings: number;
+  reads: number;
 }
 
 /** Readings asked for until one is answered, or refused because nobody listens. */
-const MAX_READINGS = 3;
+const MAX_READS = 3;
 
-export class AttemptExaminer {
+export class CrashDetector {
   readonly #context: ExecutionContext;
   readonly #retry: (
     request: LiveRequest,
     reason: RetryReason,
     now: Milliseconds,
   ) => void;
-  readonly #examinations = new Map<string, ExaminedAttempt>();
+  readonly #crashChecks = new Map<string, CrashCheck>();
 
   constructor(
     context: ExecutionContext,
@@ -43,32 +43,35 @@
   }
 
   /** Reads the upstream; returns false when it is in the host list no more. */
-  examine(attempt: RunningAttempt, retry: RetryReason | undefined): boolean {
-    return this.#read({ ...attempt, retry, readings: 0 });
+  checkForCrash(
+    attempt: RunningAttempt,
+    retry: RetryReason | undefined,
+  ): boolean {
+    return this.#readState({ ...attempt, retry, reads: 0 });
   }
 
   /** Takes the outcome of reading a lost attempt's upstream; returns false when it was not asked for here. */
-  handleExamination(
+  handleStateRead(
     event: Extract<
       CoreEvent,
       { kind: "upstreamStateRead" | "upstreamStateUnread" }
     >,
     now: Milliseconds,
   ): boolean {
-    const examined = this.#examinations.get(event.readId);
-    if (!examined) return false;
-    this.#examinations.delete(event.readId);
+    const crashCheck = this.#crashChecks.get(event.readId);
+    if (!crashCheck) return false;
+    this.#crashChecks.delete(event.readId);
     const isUnanswered = event.kind === "upstreamStateUnread" &&
-      !event.isRefused && examined.readings < MAX_READINGS;
-    if (isUnanswered && this.#read(examined)) return true;
-    const hasDied = event.kind === "upstreamStateRead"
-      ? event.state.incarnation !== examined.credit.upstreamIncarnation
+      !event.isRefused && crashCheck.reads < MAX_READS;
+    if (isUnanswered && this.#readState(crashCheck)) return true;
+    const hasCrashed = event.kind === "upstreamStateRead"
+      ? event.state.incarnation !== crashCheck.credit.upstreamIncarnation
       : event.isRefused;
-    const { request, retry } = examined;
-    if (hasDied) {
+    const { request, retry } = crashCheck;
+    if (hasCrashed) {
       this.#context.options.quarantine.recordCrash(
         request.event.fingerprint,
-        this.#isAloneAt(examined),
+        this.#hasRunAlone(crashCheck),
         now,
       );
       this.#context.options.publishStrikes(now);
@@ -83,25 +86,25 @@
    * Returns whether nothing else can have run on the upstream: the lease was
    * for a run alone, and its granter has owned the upstream ever since.
    */
-  #isAloneAt(examined: ExaminedAttempt): boolean {
-    const { credit, upstreamId } = examined;
+  #hasRunAlone(crashCheck: CrashCheck): boolean {
+    const { credit, upstreamId } = crashCheck;
     const view = this.#context.options.membership.getUpstreamView(upstreamId);
     return credit.exclusive && view?.ownerId === credit.ownerId;
   }
 
-  #read(examined: ExaminedAttempt): boolean {
+  #readState(crashCheck: CrashCheck): boolean {
     const { membership, emit } = this.#context.options;
-    const host = membership.getUpstreamHost(examined.upstreamId);
+    const host = membership.getUpstreamHost(crashCheck.upstreamId);
     if (!host) return false;
     const readId = this.#context.createId("examination");
-    this.#examinations.set(readId, {
-      ...examined,
-      readings: examined.readings + 1,
+    this.#crashChecks.set(readId, {
+      ...crashCheck,
+      reads: crashCheck.reads + 1,
     });
     emit({
       kind: "readUpstreamState",
-      upstreamId: examined.upstreamId,
-      upstreamKind: examined.request.pool.kind,
+      upstreamId: crashCheck.upstreamId,
+      upstreamKind: crashCheck.request.pool.kind,
       address: host.address,
       readId,
     });
--- a/src/core/execution/attempt_runner.ts
+++ b/src/core/execution/attempt_runner.ts
@@ -7,41 +7,41 @@
   RetryReason,
 } from "../outcomes.ts";
 import { type Milliseconds, PoolKind } from "../structures.ts";
-import { AttemptExaminer, type RunningAttempt } from "./attempt_examiner.ts";
+import { CrashDetector, type RunningAttempt } from "./attempt_examiner.ts";
 import {
   DEFAULT_RETRY_AFTER_MS,
   type ExecutionContext,
 } from "./execution_context.ts";
-import type { LeaseBook } from "./lease_book.ts";
+import type { LeaseClient } from "./lease_book.ts";
 import type { TakenCredit } from "./lease_holding.ts";
 import type { LiveRequest } from "./live_request.ts";
 import type { RequestAssigner } from "./request_assigner.ts";
-import type { RequestConcluder } from "./request_concluder.ts";
+import type { RequestFinisher } from "./request_concluder.ts";
 
 /** Status with which an engine says that it does not hold the adapter. */
 const NOT_RESIDENT_STATUS = 404;
 
 export class AttemptRunner {
   readonly #context: ExecutionContext;
-  readonly #leases: LeaseBook;
+  readonly #leases: LeaseClient;
   readonly #assigner: RequestAssigner;
-  readonly #concluder: RequestConcluder;
-  readonly #examiner: AttemptExaminer;
+  readonly #finisher: RequestFinisher;
+  readonly #crashDetector: CrashDetector;
   readonly #attempts = new Map<string, RunningAttempt>();
 
   constructor(
     context: ExecutionContext,
     parts: {
-      leases: LeaseBook;
+      leases: LeaseClient;
       assigner: RequestAssigner;
-      concluder: RequestConcluder;
+      finisher: RequestFinisher;
     },
   ) {
     this.#context = context;
     this.#leases = parts.leases;
     this.#assigner = parts.assigner;
-    this.#concluder = parts.concluder;
-    this.#examiner = new AttemptExaminer(
+    this.#finisher = parts.finisher;
+    this.#crashDetector = new CrashDetector(
       context,
       (request, reason, now) => this.retry(request, reason, now),
     );
@@ -52,14 +52,14 @@
   }
 
   /** Takes the outcome of reading a lost attempt's upstream; returns false when it was not asked for here. */
-  handleExamination(
+  handleStateRead(
     event: Extract<
       CoreEvent,
       { kind: "upstreamStateRead" | "upstreamStateUnread" }
     >,
     now: Milliseconds,
   ): boolean {
-    return this.#examiner.handleExamination(event, now);
+    return this.#crashDetector.handleStateRead(event, now);
   }
 
   handleAttemptEnded(
@@ -85,9 +85,9 @@
       attempt.request.attempt = undefined;
     }
     this.#releaseCredit(attempt, event.result, now);
-    this.#examineIfLost(attempt, event.result, isLive, now);
-    if (isLive) this.#concludeAttempt(attempt, event.result, now);
-    this.#leases.pumpHolding(attempt.holdingKey, now);
+    this.#checkCrashIfLost(attempt, event.result, isLive, now);
+    if (isLive) this.#handleResult(attempt, event.result, now);
+    this.#leases.dispatchWaiting(attempt.groupKey, now);
   }
 
   /**
@@ -96,7 +96,7 @@
    */
   dispatch(
     request: LiveRequest,
-    holdingKey: string,
+    groupKey: string,
     credit: TakenCredit,
     now: Milliseconds,
   ): void {
@@ -104,18 +104,18 @@
     const upstreamId = request.upstreamId ?? "";
     const host = this.#context.options.membership.getUpstreamHost(upstreamId);
     if (!host) {
-      this.#leases.freeCredit(holdingKey, credit.leaseId, now);
+      this.#leases.freeCredit(groupKey, credit.leaseId, now);
       request.unassign();
       return;
     }
     const { quarantine } = this.#context.options;
     if (quarantine.isQuarantined(request.event.fingerprint, now)) {
-      this.#leases.freeCredit(holdingKey, credit.leaseId, now);
+      this.#leases.freeCredit(groupKey, credit.leaseId, now);
       this.#refuseQuarantined(request, now);
       return;
     }
     if (!credit.exclusive && this.#context.isSuspect(request, now)) {
-      this.#leases.freeCredit(holdingKey, credit.leaseId, now);
+      this.#leases.freeCredit(groupKey, credit.leaseId, now);
       request.unassign();
       return;
     }
@@ -128,7 +128,11 @@
       credit,
     };
     request.attempt = attempt;
-    this.#attempts.set(attempt.attemptId, { ...attempt, request, holdingKey });
+    this.#attempts.set(attempt.attemptId, {
+      ...attempt,
+      request,
+      groupKey: groupKey,
+    });
     this.#context.options.emit({
       kind: "dispatch",
       attemptId: attempt.attemptId,
@@ -161,13 +165,13 @@
   ): void {
     const mayStillRun = result.kind === "lost" || result.kind === "timedOut" ||
       result.kind === "wrongAdapter";
-    const { holdingKey, credit } = attempt;
-    if (mayStillRun) this.#leases.abandonCredit(holdingKey, credit.leaseId);
-    else this.#leases.freeCredit(holdingKey, credit.leaseId, now);
+    const { groupKey: groupKey, credit } = attempt;
+    if (mayStillRun) this.#leases.abandonCredit(groupKey, credit.leaseId);
+    else this.#leases.freeCredit(groupKey, credit.leaseId, now);
   }
 
   /** Learns whether the upstream of a lost attempt died, before anything is retried. */
-  #examineIfLost(
+  #checkCrashIfLost(
     attempt: RunningAttempt,
     result: AttemptResult,
     isLive: boolean,
@@ -177,22 +181,22 @@
     const { request } = attempt;
     const canRetry = isLive && request.route.idempotent &&
       result.bytesForwarded === 0;
-    const isExamined = this.#examiner.examine(
+    const isChecking = this.#crashDetector.checkForCrash(
       attempt,
       canRetry ? RetryReason.UpstreamLost : undefined,
     );
-    if (!isExamined) return;
+    if (!isChecking) return;
     if (canRetry) {
       request.apply("upstreamSuspected");
       request.excludedUpstreams.add(attempt.upstreamId);
     } else if (isLive) {
-      this.#concluder.refuse(request, RefusalReason.UpstreamLost, {
+      this.#finisher.refuse(request, RefusalReason.UpstreamLost, {
         outcome: Outcome.MayHaveRun,
       }, now);
     }
   }
 
-  #concludeAttempt(
+  #handleResult(
     attempt: RunningAttempt,
     result: AttemptResult,
     now: Milliseconds,
@@ -204,20 +208,20 @@
         this.#complete(request, attempt, now);
         break;
       case "notSent":
-        this.#assigner.excludeForNow(request, attempt.upstreamId, now);
+        this.#assigner.excludeTemporarily(request, attempt.upstreamId, now);
         this.retry(request, RetryReason.NotSent, now);
         break;
       case "refused":
-        this.#excludeRefusing(attempt, result.status, now);
+        this.#excludeAfterRefusal(attempt, result.status, now);
         this.retry(request, RetryReason.RefusedByUpstream, now);
         break;
       case "rejected":
-        this.#concluder.refuse(request, RefusalReason.UpstreamRejected, {
+        this.#finisher.refuse(request, RefusalReason.UpstreamRejected, {
           outcome: Outcome.NotRun,
         }, now);
         break;
       case "failed":
-        this.#concluder.refuse(request, RefusalReason.UpstreamRejected, {
+        this.#finisher.refuse(request, RefusalReason.UpstreamRejected, {
           outcome: Outcome.Failed,
         }, now);
         break;
@@ -226,19 +230,19 @@
         if (request.route.idempotent) {
           this.retry(request, RetryReason.WrongAdapter, now);
         } else {
-          this.#concluder.refuse(request, RefusalReason.WrongAdapter, {
+          this.#finisher.refuse(request, RefusalReason.WrongAdapter, {
             outcome: Outcome.MayHaveRun,
           }, now);
         }
         break;
       case "timedOut":
-        this.#concluder.refuse(request, RefusalReason.RunTimeExceeded, {
+        this.#finisher.refuse(request, RefusalReason.RunTimeExceeded, {
           outcome: Outcome.MayHaveRun,
         }, now);
         break;
       case "cancelled":
       case "lost":
-        this.#concluder.refuse(request, RefusalReason.UpstreamLost, {
+        this.#finisher.refuse(request, RefusalReason.UpstreamLost, {
           outcome: Outcome.MayHaveRun,
         }, now);
         break;
@@ -246,7 +250,7 @@
   }
 
   /** An engine without the adapter has restarted or lost it: its owner loads it again. */
-  #excludeRefusing(
+  #excludeAfterRefusal(
     attempt: RunningAttempt,
     status: number,
     now: Milliseconds,
@@ -255,7 +259,7 @@
     const isNotResident = request.pool.kind === PoolKind.Engine &&
       status === NOT_RESIDENT_STATUS;
     if (isNotResident) {
-      this.#assigner.excludeForNow(request, upstreamId, now);
+      this.#assigner.excludeTemporarily(request, upstreamId, now);
     } else request.excludedUpstreams.add(upstreamId);
   }
 
@@ -265,11 +269,11 @@
     now: Milliseconds,
   ): void {
     if (attempt.credit.exclusive) {
-      this.#context.options.quarantine.recordSurvival(
+      this.#context.options.quarantine.clearSuspect(
         request.event.fingerprint,
       );
     }
-    this.#concluder.complete(request, now);
+    this.#finisher.complete(request, now);
   }
 
   /** Sends the request to another upstream, within its bounds, or refuses it. */
@@ -279,11 +283,11 @@
       this.#refuseQuarantined(request, now);
       return;
     }
-    const isSpent = request.attempts >= settings.maxAttempts ||
+    const isExhausted = request.attempts >= settings.maxAttempts ||
       now >= request.deadlineAt + request.route.maxRunMs ||
       !retryBudget.trySpend();
-    if (isSpent) {
-      this.#concluder.refuse(request, RefusalReason.RetriesExhausted, {
+    if (isExhausted) {
+      this.#finisher.refuse(request, RefusalReason.RetriesExhausted, {
         outcome: Outcome.NotRun,
         retryAfterMs: DEFAULT_RETRY_AFTER_MS,
       }, now);
@@ -299,7 +303,7 @@
 
   #refuseQuarantined(request: LiveRequest, now: Milliseconds): void {
     const { quarantine } = this.#context.options;
-    this.#concluder.refuse(request, RefusalReason.Quarantined, {
+    this.#finisher.refuse(request, RefusalReason.Quarantined, {
       outcome: Outcome.NotRun,
       retryAfterMs: quarantine.getRemainingMs(request.event.fingerprint, now),
     }, now);
--- a/src/core/execution/attempt_verdict.ts
+++ b/src/core/execution/attempt_verdict.ts
@@ -19,12 +19,12 @@
   /** The connection broke, or the answer belongs to nobody. */
   Lost: "lost",
   /** No answer came in the time given to this attempt. */
-  Silent: "silent",
+  TimedOut: "silent",
 } as const;
 export type AttemptOutcome =
   (typeof AttemptOutcome)[keyof typeof AttemptOutcome];
 
-export type AttemptVerdict =
+export type RetryDecision =
   | { kind: "deliver" }
   | { kind: "tryAnother" }
   /** Answer that the request has not run. */
@@ -32,20 +32,20 @@
   /** Answer that the request may have run. */
   | { kind: "fail"; isTimeout: boolean };
 
-export interface AttemptSituation {
+export interface RetryConditions {
   outcome: AttemptOutcome;
   repeatability: Repeatability;
   isResumable: boolean;
   /** Upstreams on which the request may have run, this one included. */
-  ranAttempts: number;
+  possibleRuns: number;
   maxAttempts: number;
   /** Attempts of any kind so far. */
-  allAttempts: number;
+  totalAttempts: number;
   remainingMs: Milliseconds;
 }
 
 /** Attempts of any kind for one request: rejections do not count as runs, but they cost. */
-const MAX_ALL_ATTEMPTS = 4;
+const MAX_TOTAL_ATTEMPTS = 4;
 /** Time below which another attempt can't be answered. */
 const MIN_REMAINING_MS = 60;
 
@@ -63,30 +63,31 @@
   }
 }
 
-/** @param trySpendRepeat spends one repeat of the shared budget, if there is one. */
-export function decideAfterAttempt(
-  situation: AttemptSituation,
-  trySpendRepeat: () => boolean,
-): AttemptVerdict {
-  const { outcome, ranAttempts, maxAttempts, remainingMs } = situation;
-  const canRepeat = isIdempotent(
-    situation.repeatability,
-    situation.isResumable,
+/** @param trySpendRetry spends one repeat of the shared budget, if there is one. */
+export function decideRetry(
+  conditions: RetryConditions,
+  trySpendRetry: () => boolean,
+): RetryDecision {
+  const { outcome, possibleRuns: ranAttempts, maxAttempts, remainingMs } =
+    conditions;
+  const canRetry = isIdempotent(
+    conditions.repeatability,
+    conditions.isResumable,
   );
   const hasTime = remainingMs >= MIN_REMAINING_MS &&
-    situation.allAttempts < MAX_ALL_ATTEMPTS;
+    conditions.totalAttempts < MAX_TOTAL_ATTEMPTS;
   switch (outcome) {
     case AttemptOutcome.Answered:
       return { kind: "deliver" };
     case AttemptOutcome.Failed:
-      return canRepeat && hasTime && ranAttempts < maxAttempts &&
-          trySpendRepeat()
+      return canRetry && hasTime && ranAttempts < maxAttempts &&
+          trySpendRetry()
         ? { kind: "tryAnother" }
         : { kind: "deliver" };
     case AttemptOutcome.NotSent:
     case AttemptOutcome.NotRun: {
-      const isRepeatArrival = outcome === AttemptOutcome.NotRun;
-      if (hasTime && (!isRepeatArrival || trySpendRepeat())) {
+      const wasReceived = outcome === AttemptOutcome.NotRun;
+      if (hasTime && (!wasReceived || trySpendRetry())) {
         return { kind: "tryAnother" };
       }
       return ranAttempts === 0
@@ -94,10 +95,10 @@
         : { kind: "fail", isTimeout: false };
     }
     case AttemptOutcome.Lost:
-    case AttemptOutcome.Silent:
-      return canRepeat && hasTime && ranAttempts < maxAttempts &&
-          trySpendRepeat()
+    case AttemptOutcome.TimedOut:
+      return canRetry && hasTime && ranAttempts < maxAttempts &&
+          trySpendRetry()
         ? { kind: "tryAnother" }
-        : { kind: "fail", isTimeout: outcome === AttemptOutcome.Silent };
+        : { kind: "fail", isTimeout: outcome === AttemptOutcome.TimedOut };
   }
 }
--- a/src/core/execution/event_splitter.ts
+++ b/src/core/execution/event_splitter.ts
@@ -26,10 +26,10 @@
   }
 
   /** Takes bytes in and returns those up to the end of the last whole event. */
-  push(piece: Buffer): Buffer {
+  push(chunk: Buffer): Buffer {
     const bytes = this.#rest.length === 0
-      ? piece
-      : Buffer.concat([this.#rest, piece]);
+      ? chunk
+      : Buffer.concat([this.#rest, chunk]);
     const end = bytes.lastIndexOf(EVENT_END);
     if (end < 0) {
       this.#rest = bytes;
--- a/src/core/execution/execution_context.ts
+++ b/src/core/execution/execution_context.ts
@@ -10,7 +10,7 @@
 import type { Milliseconds } from "../structures.ts";
 import type { TableKeeper } from "../tables/table_keeper.ts";
 import type { LiveRequest } from "./live_request.ts";
-import type { TicketBook } from "./ticket_book.ts";
+import type { TicketIssuer } from "./ticket_book.ts";
 
 export interface RequestExecutorOptions {
   selfId: string;
@@ -24,7 +24,7 @@
   /** Tells peers of new strikes at once. */
   publishStrikes: (now: Milliseconds) => void;
   retryBudget: RetryBudget;
-  tickets: TicketBook;
+  tickets: TicketIssuer;
   emit: (effect: Effect) => void;
 }
 
--- a/src/core/execution/holding_table.ts
+++ b/src/core/execution/holding_table.ts
@@ -1,15 +1,15 @@
 /** The holdings of leases by their key, with an index by upstream. */
-import type { LeaseHolding } from "./lease_holding.ts";
+import type { LeaseGroup } from "./lease_holding.ts";
 
-export class HoldingTable {
-  readonly #byKey = new Map<string, LeaseHolding>();
-  readonly #byUpstream = new Map<string, Set<LeaseHolding>>();
+export class LeaseGroupTable {
+  readonly #byKey = new Map<string, LeaseGroup>();
+  readonly #byUpstream = new Map<string, Set<LeaseGroup>>();
 
-  get(key: string): LeaseHolding | undefined {
+  get(key: string): LeaseGroup | undefined {
     return this.#byKey.get(key);
   }
 
-  add(key: string, holding: LeaseHolding): void {
+  add(key: string, holding: LeaseGroup): void {
     this.#byKey.set(key, holding);
     const known = this.#byUpstream.get(holding.upstreamId);
     if (known) known.add(holding);
@@ -25,7 +25,7 @@
     if (known?.size === 0) this.#byUpstream.delete(holding.upstreamId);
   }
 
-  getAll(): Iterable<[string, LeaseHolding]> {
+  getAll(): Iterable<[string, LeaseGroup]> {
     return this.#byKey;
   }
 
@@ -39,7 +39,7 @@
   }
 }
 
-function sumCredits(holdings: Iterable<LeaseHolding>): number {
+function sumCredits(holdings: Iterable<LeaseGroup>): number {
   let credits = 0;
   for (const holding of holdings) credits += holding.countCredits();
   return credits;
--- a/src/core/execution/lease_book.ts
+++ b/src/core/execution/lease_book.ts
@@ -9,14 +9,14 @@
 import type { ExecutionContext } from "./execution_context.ts";
 import {
   type CreditReturn,
-  LeaseHolding,
+  LeaseGroup,
   type TakenCredit,
 } from "./lease_holding.ts";
-import { HoldingTable } from "./holding_table.ts";
+import { LeaseGroupTable } from "./holding_table.ts";
 import type { LiveRequest } from "./live_request.ts";
 
 /** What the book asks of its surroundings. */
-export interface LeaseBookHandlers {
+export interface LeaseClientHandlers {
   /** Starts an attempt under a credit. */
   dispatch(
     request: LiveRequest,
@@ -35,21 +35,21 @@
 /** Granted leases remembered, to tell repeated grants from new ones. */
 const MAX_SEEN_LEASES = 65_536;
 
-export class LeaseBook {
+export class LeaseClient {
   readonly #context: ExecutionContext;
-  readonly #handlers: LeaseBookHandlers;
-  readonly #holdings = new HoldingTable();
-  readonly #holdingKeysByLeaseRequest = new Map<string, string>();
+  readonly #handlers: LeaseClientHandlers;
+  readonly #groups = new LeaseGroupTable();
+  readonly #groupKeysByLeaseRequest = new Map<string, string>();
   /** Leases that were granted to this daemon, the latest last. */
   readonly #seenLeaseIds = new Set<string>();
 
-  constructor(context: ExecutionContext, handlers: LeaseBookHandlers) {
+  constructor(context: ExecutionContext, handlers: LeaseClientHandlers) {
     this.#context = context;
     this.#handlers = handlers;
   }
 
   countHeldCredits(): number {
-    return this.#holdings.countCredits();
+    return this.#groups.countCredits();
   }
 
   /** Lets the request wait for a credit on the upstream. */
@@ -59,34 +59,34 @@
     now: Milliseconds,
   ): void {
     const exclusive = this.#context.isSuspect(request, now);
-    const key = createHoldingKey(request, upstreamId, exclusive);
-    let holding = this.#holdings.get(key);
+    const key = createGroupKey(request, upstreamId, exclusive);
+    let holding = this.#groups.get(key);
     if (!holding) {
-      holding = new LeaseHolding(upstreamId, request.adapterKey);
-      this.#holdings.add(key, holding);
+      holding = new LeaseGroup(upstreamId, request.adapterKey);
+      this.#groups.add(key, holding);
     }
     request.apply("assigned");
     request.upstreamId = upstreamId;
-    holding.waiting.push(request.id);
-    this.pumpHolding(key, now);
+    holding.waitingRequestIds.push(request.id);
+    this.dispatchWaiting(key, now);
   }
 
   /** Frees the credit of a run that is certainly over. */
   freeCredit(holdingKey: string, leaseId: string, now: Milliseconds): void {
-    this.#holdings.get(holdingKey)?.freeCredit(leaseId, now);
+    this.#groups.get(holdingKey)?.freeCredit(leaseId, now);
   }
 
   /** Forgets the credit of a run that may still go on. */
   abandonCredit(holdingKey: string, leaseId: string): void {
-    this.#holdings.get(holdingKey)?.abandonCredit(leaseId);
+    this.#groups.get(holdingKey)?.abandonCredit(leaseId);
   }
 
   /** Drops every lease held, after a pause of this process. */
   expireAll(): void {
-    for (const [, holding] of this.#holdings.getAll()) {
+    for (const [, holding] of this.#groups.getAll()) {
       this.#clearPending(holding);
       holding.dropAll();
-      for (const requestId of holding.waiting.splice(0)) {
+      for (const requestId of holding.waitingRequestIds.splice(0)) {
         this.#context.requests.get(requestId)?.unassign();
         this.#context.countRetry(RetryReason.LeaseExpired);
       }
@@ -95,8 +95,8 @@
 
   /** Asks again for what was not answered and returns idle credits. */
   tick(now: Milliseconds): void {
-    for (const [key, holding] of this.#holdings.getAll()) {
-      this.#tickHolding(key, holding, now);
+    for (const [key, holding] of this.#groups.getAll()) {
+      this.#tickGroup(key, holding, now);
     }
   }
 
@@ -106,8 +106,8 @@
     grant: LeaseGrantMessage,
     now: Milliseconds,
   ): void {
-    const key = this.#holdingKeysByLeaseRequest.get(grant.leaseRequestId);
-    const holding = key === undefined ? undefined : this.#holdings.get(key);
+    const key = this.#groupKeysByLeaseRequest.get(grant.leaseRequestId);
+    const holding = key === undefined ? undefined : this.#groups.get(key);
     if (this.#seenLeaseIds.has(grant.leaseId)) return;
     this.#rememberLease(grant.leaseId);
     const isAwaited = holding?.pending?.leaseRequestId === grant.leaseRequestId;
@@ -122,74 +122,77 @@
     const { leaseMarginMs } = this.#context.options.settings;
     holding.addLease({ ...grant, ownerId: from }, leaseMarginMs, now);
     if (grant.loaded) this.#markStalled(holding);
-    this.pumpHolding(key, now);
+    this.dispatchWaiting(key, now);
   }
 
   /** Hands the waiting requests back for another choice. */
   handleLeaseRefusal(refusal: LeaseRefusalMessage, now: Milliseconds): void {
-    const key = this.#holdingKeysByLeaseRequest.get(refusal.leaseRequestId);
-    const holding = key === undefined ? undefined : this.#holdings.get(key);
+    const key = this.#groupKeysByLeaseRequest.get(refusal.leaseRequestId);
+    const holding = key === undefined ? undefined : this.#groups.get(key);
     if (!holding) return;
     this.#clearPending(holding);
-    for (const requestId of holding.waiting.splice(0)) {
+    for (const requestId of holding.waitingRequestIds.splice(0)) {
       const request = this.#context.requests.get(requestId);
       if (request) this.#handlers.reassign(request, refusal, now);
     }
   }
 
-  #tickHolding(key: string, holding: LeaseHolding, now: Milliseconds): void {
+  #tickGroup(key: string, holding: LeaseGroup, now: Milliseconds): void {
     const { settings } = this.#context.options;
     this.#returnIdleCredits(holding, now);
     const { pending } = holding;
     const isUnanswered = pending !== undefined &&
       now - pending.sentAt >= settings.leaseReplyTimeoutMs;
     if (isUnanswered) {
-      const isOwnerHeard = pending.ownerId === this.#context.options.selfId ||
+      const isOwnerReachable =
+        pending.ownerId === this.#context.options.selfId ||
         this.#context.options.membership.isPeerLive(pending.ownerId);
-      if (isOwnerHeard) this.#sendLeaseRequest(key, holding, now);
-      else this.#loseOwner(holding);
+      if (isOwnerReachable) this.#sendLeaseRequest(key, holding, now);
+      else this.#handleOwnerUnreachable(holding);
     }
-    this.pumpHolding(key, now);
-    if (holding.isUnused()) this.#holdings.remove(key);
+    this.dispatchWaiting(key, now);
+    if (holding.isUnused()) this.#groups.remove(key);
   }
 
-  #loseOwner(holding: LeaseHolding): void {
+  #handleOwnerUnreachable(holding: LeaseGroup): void {
     this.#clearPending(holding);
     this.#context.countRetry(RetryReason.LeaseUnanswered);
-    for (const requestId of holding.waiting.splice(0)) {
+    for (const requestId of holding.waitingRequestIds.splice(0)) {
       const request = this.#context.requests.get(requestId);
       if (request) request.unassign();
     }
   }
 
   /** Dispatches what the credits at hand allow and asks for the rest. */
-  pumpHolding(key: string, now: Milliseconds): void {
-    const holding = this.#holdings.get(key);
+  dispatchWaiting(key: string, now: Milliseconds): void {
+    const holding = this.#groups.get(key);
     if (!holding) return;
     const exclusive = isExclusiveKey(key);
-    while (holding.waiting.length > 0) {
+    while (holding.waitingRequestIds.length > 0) {
       const credit = holding.tryTakeCredit(exclusive, now);
       if (!credit) break;
-      const request = this.#context.requests.get(holding.waiting.shift() ?? "");
+      const request = this.#context.requests.get(
+        holding.waitingRequestIds.shift() ?? "",
+      );
       if (request) this.#handlers.dispatch(request, key, credit, now);
       else holding.freeCredit(credit.leaseId, now);
     }
-    if (holding.waiting.length === 0) return;
+    if (holding.waitingRequestIds.length === 0) return;
     const wanted = Math.min(
-      holding.waiting.length,
+      holding.waitingRequestIds.length,
       this.#context.options.settings.maxLeaseCredits,
     );
-    const isEnoughAsked = holding.pending !== undefined &&
+    const hasRequestedEnough = holding.pending !== undefined &&
       (exclusive || holding.pending.credits >= wanted);
-    if (!isEnoughAsked) this.#sendLeaseRequest(key, holding, now);
+    if (!hasRequestedEnough) this.#sendLeaseRequest(key, holding, now);
   }
 
   #sendLeaseRequest(
     key: string,
-    holding: LeaseHolding,
+    holding: LeaseGroup,
     now: Milliseconds,
   ): void {
-    const requests = holding.waiting
+    const requests = holding.waitingRequestIds
       .map((id) => this.#context.requests.get(id))
       .filter((request) => request !== undefined);
     const first = requests[0];
@@ -213,7 +216,7 @@
       credits,
       exclusive,
     };
-    this.#holdingKeysByLeaseRequest.set(leaseRequestId, key);
+    this.#groupKeysByLeaseRequest.set(leaseRequestId, key);
     this.#context.options.emit({
       kind: "send",
       to: view.ownerId,
@@ -249,15 +252,15 @@
   detach(request: LiveRequest): void {
     if (request.state !== "leasing" || request.upstreamId === undefined) return;
     for (const exclusive of [false, true]) {
-      const key = createHoldingKey(request, request.upstreamId, exclusive);
-      const holding = this.#holdings.get(key);
+      const key = createGroupKey(request, request.upstreamId, exclusive);
+      const holding = this.#groups.get(key);
       if (!holding) continue;
       holding.removeWaiting(request.id);
-      if (holding.waiting.length === 0) this.#cancelPending(holding);
+      if (holding.waitingRequestIds.length === 0) this.#cancelPending(holding);
     }
   }
 
-  #cancelPending(holding: LeaseHolding): void {
+  #cancelPending(holding: LeaseGroup): void {
     const { pending } = holding;
     if (!pending) return;
     this.#context.options.emit({
@@ -272,17 +275,17 @@
     this.#clearPending(holding);
   }
 
-  #clearPending(holding: LeaseHolding): void {
+  #clearPending(holding: LeaseGroup): void {
     if (!holding.pending) return;
-    this.#holdingKeysByLeaseRequest.delete(holding.pending.leaseRequestId);
+    this.#groupKeysByLeaseRequest.delete(holding.pending.leaseRequestId);
     holding.pending = undefined;
   }
 
-  #returnIdleCredits(holding: LeaseHolding, now: Milliseconds): void {
+  #returnIdleCredits(holding: LeaseGroup, now: Milliseconds): void {
     const view = this.#context.options.membership.getUpstreamView(
       holding.upstreamId,
     );
-    const idleMs = holding.waiting.length > 0
+    const idleMs = holding.waitingRequestIds.length > 0
       ? Number.POSITIVE_INFINITY
       : this.#context.options.settings.leaseIdleMs;
     for (const credits of holding.takeIdleCredits(idleMs, now)) {
@@ -302,8 +305,8 @@
     });
   }
 
-  #markStalled(holding: LeaseHolding): void {
-    for (const requestId of holding.waiting) {
+  #markStalled(holding: LeaseGroup): void {
+    for (const requestId of holding.waitingRequestIds) {
       const request = this.#context.requests.get(requestId);
       if (request) request.hasStalled = true;
     }
@@ -311,26 +314,26 @@
 
   /** Returns the credits held or asked for on the upstream. */
   countLocalCredits(upstreamId: string): number {
-    return this.#holdings.countUpstreamCredits(upstreamId);
+    return this.#groups.countUpstreamCredits(upstreamId);
   }
 }
 
-const EXCLUSIVE_MARK = "!";
+const EXCLUSIVE_PREFIX = "!";
 
 /**
  * Returns the key of the holding that can serve the request. A lease covers
  * runs of one longest time only, for its owner counts on that time.
  */
-function createHoldingKey(
+function createGroupKey(
   request: LiveRequest,
   upstreamId: string,
   exclusive: boolean,
 ): string {
-  const mark = exclusive ? EXCLUSIVE_MARK : "";
+  const prefix = exclusive ? EXCLUSIVE_PREFIX : "";
   const { adapterKey, route } = request;
-  return `${mark}${upstreamId}|${adapterKey}|${route.maxRunMs}`;
+  return `${prefix}${upstreamId}|${adapterKey}|${route.maxRunMs}`;
 }
 
 function isExclusiveKey(key: string): boolean {
-  return key.startsWith(EXCLUSIVE_MARK);
+  return key.startsWith(EXCLUSIVE_PREFIX);
 }
--- a/src/core/execution/lease_holding.ts
+++ b/src/core/execution/lease_holding.ts
@@ -40,10 +40,10 @@
   exclusive: boolean;
 }
 
-export class LeaseHolding {
+export class LeaseGroup {
   readonly upstreamId: string;
   readonly adapterKey: string;
-  readonly waiting: string[] = [];
+  readonly waitingRequestIds: string[] = [];
   pending: PendingLeaseRequest | undefined;
   readonly #leases = new Map<string, HeldLease>();
 
@@ -141,13 +141,13 @@
   }
 
   isUnused(): boolean {
-    return this.#leases.size === 0 && this.waiting.length === 0 &&
+    return this.#leases.size === 0 && this.waitingRequestIds.length === 0 &&
       this.pending === undefined;
   }
 
   removeWaiting(requestId: string): void {
-    const index = this.waiting.indexOf(requestId);
-    if (index >= 0) this.waiting.splice(index, 1);
+    const index = this.waitingRequestIds.indexOf(requestId);
+    if (index >= 0) this.waitingRequestIds.splice(index, 1);
   }
 
   #dropIfEmpty(lease: HeldLease): void {
--- a/src/core/execution/live_request.ts
+++ b/src/core/execution/live_request.ts
@@ -24,7 +24,7 @@
 export interface TicketClaim {
   claimId: string;
   ticket: string;
-  homeId: string;
+  issuerId: string;
   sentAt: Milliseconds;
 }
 
@@ -52,7 +52,7 @@
   /** Whether the adapter is resident elsewhere and a further copy is wanted. */
   wantsCopy = false;
   /** Since when no upstream has been ready; undefined while one is. */
-  searchStartedAt: Milliseconds | undefined;
+  noUpstreamSince: Milliseconds | undefined;
   hasStalled = false;
   /** Whether the upstream to which the request is assigned has yet to load the adapter. */
   awaitsLoad = false;
--- a/src/core/execution/request_assigner.ts
+++ b/src/core/execution/request_assigner.ts
@@ -22,9 +22,9 @@
   type ExecutionContext,
 } from "./execution_context.ts";
 import { listShortlist } from "../routing/upstream_shortlist.ts";
-import type { LeaseBook } from "./lease_book.ts";
+import type { LeaseClient } from "./lease_book.ts";
 import type { LiveRequest } from "./live_request.ts";
-import type { RequestConcluder } from "./request_concluder.ts";
+import type { RequestFinisher } from "./request_concluder.ts";
 import type { UpstreamExclusions } from "./upstream_exclusions.ts";
 
 /** Time for which a request waits while no upstream of its pool is ready. */
@@ -42,27 +42,27 @@
 
 export class RequestAssigner {
   readonly #context: ExecutionContext;
-  readonly #leases: LeaseBook;
-  readonly #concluder: RequestConcluder;
+  readonly #leases: LeaseClient;
+  readonly #finisher: RequestFinisher;
 
   constructor(
     context: ExecutionContext,
-    parts: { leases: LeaseBook; concluder: RequestConcluder },
+    parts: { leases: LeaseClient; finisher: RequestFinisher },
   ) {
     this.#context = context;
     this.#leases = parts.leases;
-    this.#concluder = parts.concluder;
+    this.#finisher = parts.finisher;
   }
 
   /** Assigns the request to the best upstream, or refuses it when none is left. */
   assign(request: LiveRequest, now: Milliseconds): void {
-    const ranked = this.#rankFor(request, now);
+    const ranked = this.#rankForRequest(request, now);
     const best = ranked[0];
     if (!best) {
       this.#handleNoUpstream(request, now);
       return;
     }
-    request.searchStartedAt = undefined;
+    request.noUpstreamSince = undefined;
     request.awaitsLoad = best.residency !== Residency.Resident;
     request.wantsCopy = request.hasBeenRedirected ||
       request.excludedUpstreams.hasAny() ||
@@ -73,11 +73,11 @@
 
   /** Lets the request wait a while, unless an upstream has turned it away for good. */
   #handleNoUpstream(request: LiveRequest, now: Milliseconds): void {
-    request.searchStartedAt ??= now;
+    request.noUpstreamSince ??= now;
     const mayBecomeReady = !request.excludedUpstreams.hasPermanent() &&
-      now - request.searchStartedAt < UPSTREAM_WAIT_MS;
+      now - request.noUpstreamSince < UPSTREAM_WAIT_MS;
     if (mayBecomeReady) return;
-    this.#concluder.refuse(request, RefusalReason.NoUpstream, {
+    this.#finisher.refuse(request, RefusalReason.NoUpstream, {
       outcome: Outcome.NotRun,
       retryAfterMs: DEFAULT_RETRY_AFTER_MS,
     }, now);
@@ -95,7 +95,7 @@
   }
 
   /** Ranks a shortlist, and the whole pool where nothing on it is ready. */
-  #rankFor(request: LiveRequest, now: Milliseconds): RankedUpstream[] {
+  #rankForRequest(request: LiveRequest, now: Milliseconds): RankedUpstream[] {
     const { pool, adapterKey, excludedUpstreams: excluded } = request;
     const { membership } = this.#context.options;
     const hosts = membership.getPoolUpstreams(pool);
@@ -138,15 +138,18 @@
   }
 
   /** Keeps the request from an upstream until its owner has read its state anew. */
-  excludeForNow(
+  excludeTemporarily(
     request: LiveRequest,
     upstreamId: string,
     now: Milliseconds,
   ): void {
-    request.excludedUpstreams.addUntil(upstreamId, this.#computeReadyAt(now));
+    request.excludedUpstreams.addUntil(
+      upstreamId,
+      this.#computeExclusionEnd(now),
+    );
   }
 
-  #computeReadyAt(now: Milliseconds): Milliseconds {
+  #computeExclusionEnd(now: Milliseconds): Milliseconds {
     return now + 2 * this.#context.options.settings.stateReadIntervalMs;
   }
 
@@ -165,7 +168,7 @@
         return;
       case LeaseRefusalReason.Leaving:
       case LeaseRefusalReason.UpstreamDown:
-        this.excludeForNow(request, refusal.upstreamId, now);
+        this.excludeTemporarily(request, refusal.upstreamId, now);
         this.assign(request, now);
         return;
       case LeaseRefusalReason.LoadFailed:
@@ -174,7 +177,7 @@
         if (request.loadFailures < this.#context.options.settings.maxAttempts) {
           this.#assignOrRefuse(request, RefusalReason.LoadFailed, refusal, now);
         } else {
-          this.#concluder.refuse(request, RefusalReason.LoadFailed, {
+          this.#finisher.refuse(request, RefusalReason.LoadFailed, {
             outcome: Outcome.NotRun,
             retryAfterMs: refusal.retryAfterMs,
           }, now);
@@ -188,7 +191,7 @@
         return;
       case LeaseRefusalReason.DeadlineUnreachable:
         // The weight store is the same for every upstream.
-        this.#concluder.refuse(request, RefusalReason.DeadlineUnreachable, {
+        this.#finisher.refuse(request, RefusalReason.DeadlineUnreachable, {
           outcome: Outcome.NotRun,
           retryAfterMs: refusal.retryAfterMs,
         }, now);
@@ -206,11 +209,11 @@
     refusal: LeaseRefusalMessage,
     now: Milliseconds,
   ): void {
-    if (this.#rankFor(request, now).length > 0) {
+    if (this.#rankForRequest(request, now).length > 0) {
       this.assign(request, now);
       return;
     }
-    this.#concluder.refuse(request, reason, {
+    this.#finisher.refuse(request, reason, {
       outcome: Outcome.NotRun,
       retryAfterMs: refusal.retryAfterMs,
     }, now);
--- a/src/core/execution/request_concluder.ts
+++ b/src/core/execution/request_concluder.ts
@@ -2,18 +2,18 @@
 import { Outcome, type RefusalReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { ExecutionContext, Refusal } from "./execution_context.ts";
-import type { LeaseBook } from "./lease_book.ts";
+import type { LeaseClient } from "./lease_book.ts";
 import type { LiveRequest } from "./live_request.ts";
 import type { TicketAdmission } from "./ticket_admission.ts";
 
-export class RequestConcluder {
+export class RequestFinisher {
   readonly #context: ExecutionContext;
-  readonly #leases: LeaseBook;
+  readonly #leases: LeaseClient;
   readonly #tickets: TicketAdmission;
 
   constructor(
     context: ExecutionContext,
-    parts: { leases: LeaseBook; tickets: TicketAdmission },
+    parts: { leases: LeaseClient; tickets: TicketAdmission },
   ) {
     this.#context = context;
     this.#leases = parts.leases;
--- a/src/core/execution/request_executor.ts
+++ b/src/core/execution/request_executor.ts
@@ -24,10 +24,10 @@
   ExecutionContext,
   type RequestExecutorOptions,
 } from "./execution_context.ts";
-import { LeaseBook } from "./lease_book.ts";
+import { LeaseClient } from "./lease_book.ts";
 import { LiveRequest } from "./live_request.ts";
 import { RequestAssigner } from "./request_assigner.ts";
-import { RequestConcluder } from "./request_concluder.ts";
+import { RequestFinisher } from "./request_concluder.ts";
 import { UpstreamExclusions } from "./upstream_exclusions.ts";
 import { TicketAdmission } from "./ticket_admission.ts";
 
@@ -35,33 +35,40 @@
 
 export class RequestExecutor {
   readonly #context: ExecutionContext;
-  readonly #leases: LeaseBook;
+  readonly #leases: LeaseClient;
   readonly #tickets: TicketAdmission;
-  readonly #concluder: RequestConcluder;
+  readonly #finisher: RequestFinisher;
   readonly #assigner: RequestAssigner;
   readonly #runner: AttemptRunner;
 
   constructor(options: RequestExecutorOptions) {
     const context = new ExecutionContext(options);
-    const leases = new LeaseBook(context, {
-      dispatch: (request, holdingKey, credit, now) =>
-        this.#runner.dispatch(request, holdingKey, credit, now),
+    const leases = new LeaseClient(context, {
+      dispatch: (request, groupKey, credit, now) =>
+        this.#runner.dispatch(request, groupKey, credit, now),
       reassign: (request, refusal, now) =>
         this.#assigner.reassignRefused(request, refusal, now),
     });
     const tickets = new TicketAdmission(context, {
       admit: (request, now) => this.#assigner.assign(request, now),
       refuse: (request, reason, refusal, now) =>
-        this.#concluder.refuse(request, reason, refusal, now),
+        this.#finisher.refuse(request, reason, refusal, now),
+    });
+    const finisher = new RequestFinisher(context, { leases, tickets });
+    const assigner = new RequestAssigner(context, {
+      leases,
+      finisher: finisher,
     });
-    const concluder = new RequestConcluder(context, { leases, tickets });
-    const assigner = new RequestAssigner(context, { leases, concluder });
     this.#context = context;
     this.#leases = leases;
     this.#tickets = tickets;
-    this.#concluder = concluder;
+    this.#finisher = finisher;
     this.#assigner = assigner;
-    this.#runner = new AttemptRunner(context, { leases, assigner, concluder });
+    this.#runner = new AttemptRunner(context, {
+      leases,
+      assigner,
+      finisher: finisher,
+    });
   }
 
   /** Returns whether nothing is left that a stop would cut off. */
@@ -115,14 +122,14 @@
   }
 
   /** Takes the outcome of reading a lost attempt's upstream; returns false when it was not asked for here. */
-  handleExamination(
+  handleStateRead(
     event: Extract<
       CoreEvent,
       { kind: "upstreamStateRead" | "upstreamStateUnread" }
     >,
     now: Milliseconds,
   ): boolean {
-    return this.#runner.handleExamination(event, now);
+    return this.#runner.handleStateRead(event, now);
   }
 
   /** Drops every lease held, after a pause of this process. */
@@ -171,7 +178,7 @@
     }
     if (!route.idempotent && event.ticket === undefined) {
       this.#context.emitRefusal(event.requestId, RefusalReason.TicketRequired, {
-        ticket: this.#context.options.tickets.mintTicket(event.customer, now),
+        ticket: this.#context.options.tickets.issueTicket(event.customer, now),
       });
       return;
     }
@@ -201,7 +208,7 @@
     }
     const hasRun = request.state === "running" ||
       request.state === "examining" || request.state === "claimingTicket";
-    this.#concluder.refuse(request, RefusalReason.CallerGone, {
+    this.#finisher.refuse(request, RefusalReason.CallerGone, {
       outcome: hasRun ? Outcome.MayHaveRun : Outcome.NotRun,
     }, now);
   }
@@ -226,7 +233,7 @@
   }
 
   #refuseOverdue(request: LiveRequest, now: Milliseconds): void {
-    this.#concluder.refuse(request, RefusalReason.DeadlineExceeded, {
+    this.#finisher.refuse(request, RefusalReason.DeadlineExceeded, {
       outcome: Outcome.NotRun,
       retryAfterMs: DEFAULT_RETRY_AFTER_MS,
     }, now);
--- a/src/core/execution/ticket_admission.ts
+++ b/src/core/execution/ticket_admission.ts
@@ -81,14 +81,14 @@
     if (!parsed) {
       this.#handlers.refuse(request, RefusalReason.TicketInvalid, {
         outcome: Outcome.NotRun,
-        ticket: this.#context.options.tickets.mintTicket(
+        ticket: this.#context.options.tickets.issueTicket(
           request.event.customer,
           now,
         ),
       }, now);
       return;
     }
-    const { homeId } = parsed;
+    const { issuerId: homeId } = parsed;
     const isReachable = homeId === this.#context.options.selfId ||
       this.#context.options.membership.canReachPeer(homeId);
     if (!isReachable) {
@@ -101,7 +101,7 @@
     request.claim = {
       claimId: this.#context.createId("claim"),
       ticket,
-      homeId,
+      issuerId: homeId,
       sentAt: now,
     };
     this.#sendClaim(request, now);
@@ -112,7 +112,7 @@
     request.claim.sentAt = now;
     this.#context.options.emit({
       kind: "send",
-      to: request.claim.homeId,
+      to: request.claim.issuerId,
       message: {
         kind: "ticketClaim",
         claimId: request.claim.claimId,
--- a/src/core/execution/ticket_book.ts
+++ b/src/core/execution/ticket_book.ts
@@ -15,7 +15,7 @@
 import { Outcome } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
 
-export interface TicketBookOptions {
+export interface TicketIssuerOptions {
   selfId: string;
   incarnation: string;
   /** Key of the check codes, drawn anew by each incarnation. */
@@ -35,21 +35,21 @@
   customer: string;
   /** Fingerprint of the first call; undefined before it. */
   fingerprint: string | undefined;
-  mintedAt: Milliseconds;
+  issuedAt: Milliseconds;
   expiresAt: Milliseconds;
   phase: TicketPhase;
 }
 
 /** The parts of a ticket. */
 export interface ParsedTicket {
-  homeId: string;
+  issuerId: string;
   incarnation: string;
   sequence: number;
-  check: string;
+  signature: string;
 }
 
 const SEPARATOR = "~";
-const CHECK_LENGTH = 22;
+const SIGNATURE_LENGTH = 22;
 /** Time within which a caller is expected to use its ticket. */
 const FRESH_TICKET_MS = 2_000;
 
@@ -63,7 +63,7 @@
   }
   const sequence = Number(sequenceText);
   if (!Number.isSafeInteger(sequence) || sequence < 1) return undefined;
-  return { homeId, incarnation, sequence, check };
+  return { issuerId: homeId, incarnation, sequence, signature: check };
 }
 
 /** Returns the answer that stands for a run of which no end is known. */
@@ -77,29 +77,29 @@
   };
 }
 
-export class TicketBook {
-  readonly #options: TicketBookOptions;
+export class TicketIssuer {
+  readonly #options: TicketIssuerOptions;
   readonly #records = new Map<number, TicketRecord>();
   #lastSequence = 0;
 
-  constructor(options: TicketBookOptions) {
+  constructor(options: TicketIssuerOptions) {
     this.#options = options;
   }
 
   /** Mints a ticket for the customer. */
-  mintTicket(customer: string, now: Milliseconds): string {
+  issueTicket(customer: string, now: Milliseconds): string {
     this.#dropExpired(now);
     this.#lastSequence += 1;
     const sequence = this.#lastSequence;
     this.#records.set(sequence, {
       customer,
       fingerprint: undefined,
-      mintedAt: now,
+      issuedAt: now,
       expiresAt: now + this.#options.lifetimeMs,
       phase: { kind: "open" },
     });
     const { selfId, incarnation } = this.#options;
-    const check = this.#computeCheck(sequence, customer);
+    const check = this.#computeSignature(sequence, customer);
     return [selfId, incarnation, sequence, check].join(SEPARATOR);
   }
 
@@ -159,13 +159,13 @@
    * under a ticket, or a ticket has just been given out. A claim older than
    * the longest use was lost with its claimant.
    */
-  hasTicketsInUse(longestUseMs: Milliseconds, now: Milliseconds): boolean {
+  hasTicketsInUse(maxUseMs: Milliseconds, now: Milliseconds): boolean {
     for (const record of this.#records.values()) {
       const isClaimed = record.phase.kind === "claimed" &&
-        now - record.phase.claimedAt < longestUseMs;
+        now - record.phase.claimedAt < maxUseMs;
       if (isClaimed) return true;
       const isFresh = record.phase.kind === "open" &&
-        now - record.mintedAt < FRESH_TICKET_MS;
+        now - record.issuedAt < FRESH_TICKET_MS;
       if (isFresh) return true;
     }
     return false;
@@ -181,35 +181,37 @@
     now: Milliseconds,
   ): TicketRecord | ClaimVerdict {
     const parsed = parseTicket(ticket);
-    if (!parsed || parsed.homeId !== this.#options.selfId) {
+    if (!parsed || parsed.issuerId !== this.#options.selfId) {
       return ClaimVerdict.Invalid;
     }
     if (parsed.incarnation !== this.#options.incarnation) {
       return ClaimVerdict.Expired;
     }
-    if (!this.#isCheckValid(parsed, customer)) return ClaimVerdict.Invalid;
+    if (!this.#isSignatureValid(parsed, customer)) return ClaimVerdict.Invalid;
     const record = this.#records.get(parsed.sequence);
     if (!record || record.expiresAt <= now) return ClaimVerdict.Expired;
     return record;
   }
 
-  #isCheckValid(parsed: ParsedTicket, customer: string): boolean {
-    const expected = Buffer.from(this.#computeCheck(parsed.sequence, customer));
-    const found = Buffer.from(parsed.check);
+  #isSignatureValid(parsed: ParsedTicket, customer: string): boolean {
+    const expected = Buffer.from(
+      this.#computeSignature(parsed.sequence, customer),
+    );
+    const found = Buffer.from(parsed.signature);
     return expected.length === found.length && timingSafeEqual(expected, found);
   }
 
-  #computeCheck(sequence: number, customer: string): string {
+  #computeSignature(sequence: number, customer: string): string {
     return createHmac("sha256", this.#options.secret)
       .update(`${this.#options.incarnation}\u0000${sequence}\u0000${customer}`)
       .digest("base64url")
-      .slice(0, CHECK_LENGTH);
+      .slice(0, SIGNATURE_LENGTH);
   }
 
   #dropExpired(now: Milliseconds): void {
     for (const [sequence, record] of this.#records) {
-      const isSurplus = this.#records.size >= this.#options.maxTickets;
-      if (record.expiresAt > now && !isSurplus) return;
+      const isFull = this.#records.size >= this.#options.maxTickets;
+      if (record.expiresAt > now && !isFull) return;
       this.#records.delete(sequence);
     }
   }
--- a/src/core/execution/ticket_settler.ts
+++ b/src/core/execution/ticket_settler.ts
@@ -13,8 +13,8 @@
 import type { Milliseconds } from "../structures.ts";
 import type { TicketClaim } from "./live_request.ts";
 
-interface PendingSettle {
-  homeId: string;
+interface PendingSettlement {
+  issuerId: string;
   message: TicketSettleMessage;
   firstSentAt: Milliseconds;
   sentAt: Milliseconds;
@@ -22,13 +22,13 @@
 
 const RESEND_INTERVAL_MS = 500;
 /** Time after which a home that does not answer is given up. */
-const GIVE_UP_MS = 10_000;
+const SETTLE_TIMEOUT_MS = 10_000;
 /** Abandoned claims remembered at once. */
 const MAX_ABANDONED = 10_000;
 
 export class TicketSettler {
   readonly #emit: (effect: Effect) => void;
-  readonly #pending = new Map<string, PendingSettle>();
+  readonly #pending = new Map<string, PendingSettlement>();
   readonly #abandoned = new Map<string, TicketSettleMessage>();
 
   constructor(emit: (effect: Effect) => void) {
@@ -54,14 +54,14 @@
       ...(answer ? { answer } : {}),
     };
     const pending = {
-      homeId: claim.homeId,
+      issuerId: claim.issuerId,
       message,
       firstSentAt: now,
       sentAt: now,
     };
     this.#pending.set(claim.claimId, pending);
     if (!answer) this.#remember(message);
-    this.#emit({ kind: "send", to: claim.homeId, message });
+    this.#emit({ kind: "send", to: claim.issuerId, message });
   }
 
   /** Remembers a claim that was given up before its verdict came. */
@@ -87,7 +87,7 @@
   /** Repeats what has not been acknowledged. */
   tick(now: Milliseconds): void {
     for (const [claimId, pending] of this.#pending) {
-      if (now - pending.firstSentAt >= GIVE_UP_MS) {
+      if (now - pending.firstSentAt >= SETTLE_TIMEOUT_MS) {
         this.#pending.delete(claimId);
         continue;
       }
@@ -95,7 +95,7 @@
       pending.sentAt = now;
       this.#emit({
         kind: "send",
-        to: pending.homeId,
+        to: pending.issuerId,
         message: pending.message,
       });
     }
--- a/src/core/limits/answer_memory.ts
+++ b/src/core/limits/answer_memory.ts
@@ -5,23 +5,23 @@
  * answers share one bound, and one that would exceed it is cut.
  */
 
-export interface AnswerMemoryOptions {
+export interface ResponseMemoryBudgetOptions {
   /** Length up to which an answer needs no part of the bound, in bytes. */
-  freeBytes: number;
+  exemptBytes: number;
   /** Bound on what all answers take beyond that, in bytes. */
   sharedBytes: number;
 }
 
 /** What one answer has taken. */
-export interface AnswerReservation {
+export interface ResponseReservation {
   bytes: number;
 }
 
-export class AnswerMemory {
-  readonly #options: AnswerMemoryOptions;
+export class ResponseMemoryBudget {
+  readonly #options: ResponseMemoryBudgetOptions;
   #usedBytes = 0;
 
-  constructor(options: AnswerMemoryOptions) {
+  constructor(options: ResponseMemoryBudgetOptions) {
     this.#options = options;
   }
 
@@ -30,12 +30,12 @@
     return this.#usedBytes;
   }
 
-  createReservation(): AnswerReservation {
+  createReservation(): ResponseReservation {
     return { bytes: 0 };
   }
 
   /** Takes more bytes for an answer; returns false where they exceed the bound, and takes none. */
-  tryExtend(reservation: AnswerReservation, bytes: number): boolean {
+  tryExtend(reservation: ResponseReservation, bytes: number): boolean {
     const before = this.#countShared(reservation.bytes);
     const after = this.#countShared(reservation.bytes + bytes);
     const usedBytes = this.#usedBytes + after - before;
@@ -46,12 +46,12 @@
   }
 
   /** Gives back what an answer has taken. */
-  release(reservation: AnswerReservation): void {
+  release(reservation: ResponseReservation): void {
     this.#usedBytes -= this.#countShared(reservation.bytes);
     reservation.bytes = 0;
   }
 
   #countShared(bytes: number): number {
-    return Math.max(0, bytes - this.#options.freeBytes);
+    return Math.max(0, bytes - this.#options.exemptBytes);
   }
 }
--- a/src/core/limits/crash_quarantine.ts
+++ b/src/core/limits/crash_quarantine.ts
@@ -42,7 +42,7 @@
   }
 
   /** Clears a suspect whose run alone came to its end. */
-  recordSurvival(fingerprint: string): void {
+  clearSuspect(fingerprint: string): void {
     this.#suspects.delete(fingerprint);
   }
 
--- a/src/core/limits/repeat_allowance.ts
+++ b/src/core/limits/repeat_allowance.ts
@@ -7,7 +7,7 @@
  */
 import type { Milliseconds } from "../structures.ts";
 
-export interface RepeatAllowanceOptions {
+export interface FleetRetryBudgetOptions {
   /** Repeats per request of a window. */
   ratio: number;
   windowMs: Milliseconds;
@@ -16,18 +16,18 @@
 }
 
 /** Part of the bound that is used: the windows of the judges slide over ours. */
-const USED_SHARE = 0.6;
+const USED_FRACTION = 0.6;
 
 interface ServiceWindow {
   arrivals: Milliseconds[];
-  repeats: Milliseconds[];
+  retries: Milliseconds[];
 }
 
-export class RepeatAllowance {
-  readonly #options: RepeatAllowanceOptions;
+export class FleetRetryBudget {
+  readonly #options: FleetRetryBudgetOptions;
   readonly #windows = new Map<string, ServiceWindow>();
 
-  constructor(options: RepeatAllowanceOptions) {
+  constructor(options: FleetRetryBudgetOptions) {
     this.#options = options;
   }
 
@@ -38,24 +38,24 @@
   /** Spends one repeat if the allowance has it. */
   trySpend(
     service: string,
-    livingDaemons: number,
+    aliveDaemons: number,
     now: Milliseconds,
   ): boolean {
     const window = this.#getWindow(service, now);
     const { ratio, slack } = this.#options;
-    const allowed = USED_SHARE *
-      (ratio * window.arrivals.length + slack / Math.max(1, livingDaemons));
-    if (window.repeats.length + 1 > Math.max(1, allowed)) return false;
-    window.repeats.push(now);
+    const allowed = USED_FRACTION *
+      (ratio * window.arrivals.length + slack / Math.max(1, aliveDaemons));
+    if (window.retries.length + 1 > Math.max(1, allowed)) return false;
+    window.retries.push(now);
     return true;
   }
 
   #getWindow(service: string, now: Milliseconds): ServiceWindow {
-    const window = this.#windows.get(service) ?? { arrivals: [], repeats: [] };
+    const window = this.#windows.get(service) ?? { arrivals: [], retries: [] };
     this.#windows.set(service, window);
     const since = now - this.#options.windowMs;
     trimBefore(window.arrivals, since);
-    trimBefore(window.repeats, since);
+    trimBefore(window.retries, since);
     return window;
   }
 }
--- a/src/core/residency/lease_granter.ts
+++ b/src/core/residency/lease_granter.ts
@@ -45,7 +45,7 @@
       ? 1
       : Math.min(freeCredits, request.credits);
     const windowEndsAt = now + settings.leaseWindowMs + settings.leaseMarginMs;
-    this.#context.options.creditShares.recordUse(
+    this.#context.options.creditShares.recordUsage(
       request.customer,
       credits,
       now,
--- a/src/core/residency/slot_loader.ts
+++ b/src/core/residency/slot_loader.ts
@@ -90,7 +90,7 @@
     const { loadShares } = this.#context.options;
     const hasFreeSlot = this.slots.countFreeSlots() > this.#nextLoads.size;
     if (hasFreeSlot) {
-      loadShares.recordUse(customer, 1, now);
+      loadShares.recordUsage(customer, 1, now);
       this.#permits.set(adapterKey, permit);
       this.slots.addLoading(adapterKey, now);
       this.#giveOrder({ kind: "load", adapterKey }, now);
@@ -99,7 +99,7 @@
     const victim = this.#findVictim(now);
     if (victim === undefined) return false;
     this.#context.options.popularity.recordEviction(victim);
-    loadShares.recordUse(customer, 1, now);
+    loadShares.recordUsage(customer, 1, now);
     this.#nextLoads.set(victim, { adapterKey, permit });
     this.slots.applyTrigger(victim, "evictOrdered", now);
     this.#giveOrder({ kind: "evict", adapterKey: victim }, now);
@@ -211,10 +211,10 @@
     const { adapterKey, customer } = request;
     if (this.#context.isService() || this.slots.getSlot(adapterKey)) return 0;
     const { loadShares, store } = this.#context.options;
-    const isOverShare = loadShares.isExceeding(customer, now);
+    const isOverShare = loadShares.isOverShare(customer, now);
     const loadsAhead = this.#listWanted(now).filter((load) =>
       load.adapterKey !== adapterKey &&
-      (isOverShare || !loadShares.isExceeding(load.customer, now))
+      (isOverShare || !loadShares.isOverShare(load.customer, now))
     );
     return store.estimateWaitMs(
       loadsAhead.length,
@@ -276,7 +276,7 @@
       const load = wanted.get(adapterKey) ??
         { adapterKey, customer: request.customer, urgency: 0 };
       load.urgency += computeUrgency(request, deadlineAt - now) *
-        (loadShares.isExceeding(request.customer, now)
+        (loadShares.isOverShare(request.customer, now)
           ? OVER_SHARE_URGENCY_FACTOR
           : 1);
       wanted.set(adapterKey, load);
--- a/src/core/residency/upstream_owner.ts
+++ b/src/core/residency/upstream_owner.ts
@@ -339,7 +339,7 @@
     if (!this.#canGrant(now)) return;
     const { creditShares } = this.#context.options;
     const isOverShare = (customer: string) =>
-      creditShares.isExceeding(customer, now);
+      creditShares.isOverShare(customer, now);
     for (const waiting of this.#queue.getOrdered(isOverShare)) {
       this.#serveRequest(waiting, now);
     }
--- a/src/gateway/attempt_runner.ts
+++ b/src/gateway/attempt_runner.ts
@@ -128,7 +128,7 @@
   };
   const timer = setTimeout(
     () => {
-      if (!head) abort(AttemptOutcome.Silent, "no head in time");
+      if (!head) abort(AttemptOutcome.TimedOut, "no head in time");
     },
     Math.max(1, options.responseHeaderTimeoutMs),
   );
@@ -185,7 +185,7 @@
   });
   return {
     result,
-    cancel: () => abort(AttemptOutcome.Silent, "cancelled"),
+    cancel: () => abort(AttemptOutcome.TimedOut, "cancelled"),
     resume: () => attempt.resume(),
   };
 }
@@ -226,7 +226,7 @@
       return HealthSignal.Answered;
     case AttemptOutcome.Failed:
     case AttemptOutcome.Lost:
-    case AttemptOutcome.Silent:
+    case AttemptOutcome.TimedOut:
       return HealthSignal.Failed;
     case AttemptOutcome.NotSent:
       return HealthSignal.Unreachable;
--- a/src/gateway/gateway.ts
+++ b/src/gateway/gateway.ts
@@ -7,9 +7,9 @@
 import { createServer, type Server } from "node:http";
 import { FleetView } from "../core/fleet/fleet_view.ts";
 import type { Heartbeat } from "../core/fleet/heartbeat.ts";
-import { AnswerMemory } from "../core/limits/answer_memory.ts";
+import { ResponseMemoryBudget } from "../core/limits/answer_memory.ts";
 import { CrashQuarantine } from "../core/limits/crash_quarantine.ts";
-import { RepeatAllowance } from "../core/limits/repeat_allowance.ts";
+import { FleetRetryBudget } from "../core/limits/repeat_allowance.ts";
 import { FenceClock } from "../core/ordering/fence_clock.ts";
 import { AdapterDemand } from "../core/placement/adapter_demand.ts";
 import { DomainReachability } from "../core/placement/domain_reachability.ts";
@@ -169,11 +169,11 @@
       backoff: new UpstreamBackoff(),
       reachability: new DomainReachability(),
       demand: new AdapterDemand(),
-      responseMemory: new AnswerMemory({
-        freeBytes: UNCOUNTED_ANSWER_BYTES,
+      responseMemory: new ResponseMemoryBudget({
+        exemptBytes: UNCOUNTED_ANSWER_BYTES,
         sharedBytes: ANSWER_BUDGET_BYTES,
       }),
-      retryBudget: new RepeatAllowance(settings.repeats),
+      retryBudget: new FleetRetryBudget(settings.repeats),
       quarantine: this.#quarantine,
       serviceLoads: new Map(),
       upstreams: this.#upstreamClient,
--- a/src/gateway/request_context.ts
+++ b/src/gateway/request_context.ts
@@ -1,8 +1,8 @@
 /** The objects that the parts of the gateway share to serve requests. */
 import type { FleetView } from "../core/fleet/fleet_view.ts";
-import type { AnswerMemory } from "../core/limits/answer_memory.ts";
+import type { ResponseMemoryBudget } from "../core/limits/answer_memory.ts";
 import type { CrashQuarantine } from "../core/limits/crash_quarantine.ts";
-import type { RepeatAllowance } from "../core/limits/repeat_allowance.ts";
+import type { FleetRetryBudget } from "../core/limits/repeat_allowance.ts";
 import type { AdapterDemand } from "../core/placement/adapter_demand.ts";
 import type { DomainReachability } from "../core/placement/domain_reachability.ts";
 import type { UpstreamBackoff } from "../core/placement/upstream_backoff.ts";
@@ -25,8 +25,8 @@
   backoff: UpstreamBackoff;
   reachability: DomainReachability;
   demand: AdapterDemand;
-  responseMemory: AnswerMemory;
-  retryBudget: RepeatAllowance;
+  responseMemory: ResponseMemoryBudget;
+  retryBudget: FleetRetryBudget;
   quarantine: CrashQuarantine;
   serviceLoads: Map<string, ServiceLoad>;
   upstreams: UpstreamClient;
--- a/src/gateway/request_handler.ts
+++ b/src/gateway/request_handler.ts
@@ -7,9 +7,9 @@
 import { computeRetryAfterMs } from "../core/admission/retry_after.ts";
 import {
   AttemptOutcome,
-  type AttemptVerdict,
-  decideAfterAttempt,
+  decideRetry,
   isIdempotent,
+  type RetryDecision,
 } from "../core/execution/attempt_verdict.ts";
 import { EventSplitter } from "../core/execution/event_splitter.ts";
 import { HealthSignal } from "../core/placement/upstream_health.ts";
@@ -302,19 +302,19 @@
       );
   }
 
-  #decide(result: AttemptResult): AttemptVerdict {
+  #decide(result: AttemptResult): RetryDecision {
     const { retryBudget, fleet } = this.#context;
     const { repeatability, isResumable, maxAttempts } = this.#route;
     const mayHaveRun = result.outcome !== AttemptOutcome.NotRun &&
       result.outcome !== AttemptOutcome.NotSent;
     if (mayHaveRun) this.#ranAttempts += 1;
-    return decideAfterAttempt({
+    return decideRetry({
       outcome: result.outcome,
       repeatability,
       isResumable,
-      ranAttempts: this.#ranAttempts,
+      possibleRuns: this.#ranAttempts,
       maxAttempts,
-      allAttempts: this.#allAttempts,
+      totalAttempts: this.#allAttempts,
       remainingMs: this.#getRemainingMs(),
     }, () => {
       const now = performance.now();
@@ -326,7 +326,7 @@
   /** Logs a verdict and carries it out. */
   #applyVerdict(
     reason: string,
-    verdict: AttemptVerdict,
+    verdict: RetryDecision,
     result?: AttemptResult,
   ): void {
     const { log, metrics, view } = this.#context;
@@ -476,7 +476,7 @@
       this.#recordReachability(upstream, signal, now);
     }
     if (result.outcome === AttemptOutcome.Answered) {
-      quarantine.recordSurvival(this.#fingerprint);
+      quarantine.clearSuspect(this.#fingerprint);
     } else if (result.isConnectionBroken && !this.#hasForwarded) {
       quarantine.recordCrash(this.#fingerprint, true, now);
     }
--- a/test/core/execution/attempt_runner_test.ts
+++ b/test/core/execution/attempt_runner_test.ts
@@ -27,7 +27,7 @@
   throw new Error(`expected a full engine, actual ${MANY} runs beside others`);
 }
 
-function tellStrikes(daemon: LoneDaemon, strikes: number): void {
+function sendStrikes(daemon: LoneDaemon, strikes: number): void {
   const digest: StrikeDigest = {
     fingerprint: "f1",
     strikes,
@@ -64,7 +64,7 @@
 
 test("a request that a peer has stopped meanwhile is not dispatched", () => {
   const { daemon, running, waiting } = startFullEngine();
-  tellStrikes(daemon, 1);
+  sendStrikes(daemon, 1);
   endRun(daemon, running[0] ?? "");
   daemon.advance(500);
   assert.is(daemon.getDispatches(waiting).length, 0);
@@ -74,7 +74,7 @@
 
 test("a request that a peer has made a suspect meanwhile waits until it runs alone", () => {
   const { daemon, running, waiting } = startFullEngine();
-  tellStrikes(daemon, 0);
+  sendStrikes(daemon, 0);
   endRun(daemon, running[0] ?? "");
   daemon.advance(200);
   assert.is(daemon.getDispatches(waiting).length, 0);
--- a/test/core/execution/attempt_verdict_test.ts
+++ b/test/core/execution/attempt_verdict_test.ts
@@ -2,21 +2,21 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  type AttemptSituation,
-  decideAfterAttempt,
+  decideRetry,
+  type RetryConditions,
 } from "../../../src/core/execution/attempt_verdict.ts";
 
-const BASE: AttemptSituation = {
+const BASE: RetryConditions = {
   outcome: "answered",
   repeatability: "idempotent",
   isResumable: false,
-  ranAttempts: 1,
+  possibleRuns: 1,
   maxAttempts: 2,
-  allAttempts: 1,
+  totalAttempts: 1,
   remainingMs: 800,
 };
 
-const CASES: [string, Partial<AttemptSituation>, boolean, string][] = [
+const CASES: [string, Partial<RetryConditions>, boolean, string][] = [
   ["an answer is delivered", {}, true, "deliver"],
   [
     "a failure of an idempotent one is repeated",
@@ -27,7 +27,7 @@
   ["without budget it is delivered", { outcome: "failed" }, false, "deliver"],
   [
     "after its attempts it is delivered",
-    { outcome: "failed", ranAttempts: 2 },
+    { outcome: "failed", possibleRuns: 2 },
     true,
     "deliver",
   ],
@@ -69,37 +69,37 @@
   ],
   [
     "one that was not run is tried elsewhere",
-    { outcome: "notRun", repeatability: "nonIdempotent", ranAttempts: 0 },
+    { outcome: "notRun", repeatability: "nonIdempotent", possibleRuns: 0 },
     true,
     "tryAnother",
   ],
   [
     "without budget it is refused",
-    { outcome: "notRun", ranAttempts: 0 },
+    { outcome: "notRun", possibleRuns: 0 },
     false,
     "refuse",
   ],
   [
     "what was not sent needs no budget",
-    { outcome: "notSent", ranAttempts: 0 },
+    { outcome: "notSent", possibleRuns: 0 },
     false,
     "tryAnother",
   ],
   [
     "without time it is refused",
-    { outcome: "notSent", ranAttempts: 0, remainingMs: 10 },
+    { outcome: "notSent", possibleRuns: 0, remainingMs: 10 },
     true,
     "refuse",
   ],
   [
     "one that ran before is never called not run",
-    { outcome: "notRun", ranAttempts: 1 },
+    { outcome: "notRun", possibleRuns: 1 },
     false,
     "fail",
   ],
   [
     "attempts of any kind are bounded",
-    { outcome: "notSent", ranAttempts: 0, allAttempts: 4 },
+    { outcome: "notSent", possibleRuns: 0, totalAttempts: 4 },
     true,
     "refuse",
   ],
@@ -107,7 +107,7 @@
 
 for (const [name, part, hasBudget, verdict] of CASES) {
   test(name, () => {
-    const decided = decideAfterAttempt({ ...BASE, ...part }, () => hasBudget);
+    const decided = decideRetry({ ...BASE, ...part }, () => hasBudget);
     assert.is(decided.kind, verdict);
   });
 }
@@ -115,7 +115,7 @@
 test("a request that times out at its upstream is told from one that broke", () => {
   const part = { repeatability: "nonIdempotent" } as const;
   const decide = (outcome: "silent" | "lost") =>
-    decideAfterAttempt({ ...BASE, ...part, outcome }, () => true);
+    decideRetry({ ...BASE, ...part, outcome }, () => true);
   assert.equal(decide("silent"), { kind: "fail", isTimeout: true });
   assert.equal(decide("lost"), { kind: "fail", isTimeout: false });
 });
--- a/test/core/execution/lease_book_test.ts
+++ b/test/core/execution/lease_book_test.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_CORE_SETTINGS } from "../../../src/core/core_settings.ts";
 import type { Effect } from "../../../src/core/effects.ts";
 import { ExecutionContext } from "../../../src/core/execution/execution_context.ts";
-import { LeaseBook } from "../../../src/core/execution/lease_book.ts";
+import { LeaseClient } from "../../../src/core/execution/lease_book.ts";
 import { LiveRequest } from "../../../src/core/execution/live_request.ts";
 import { CrashQuarantine } from "../../../src/core/limits/crash_quarantine.ts";
 import { RetryBudget } from "../../../src/core/limits/retry_budget.ts";
@@ -15,7 +15,7 @@
   RouteStructure,
 } from "../../../src/core/structures.ts";
 import { TableKeeper } from "../../../src/core/tables/table_keeper.ts";
-import { TicketBook } from "../../../src/core/execution/ticket_book.ts";
+import { TicketIssuer } from "../../../src/core/execution/ticket_book.ts";
 
 const UPSTREAM = "engine-1";
 const ADAPTER = "salmon@1";
@@ -43,8 +43,8 @@
   batchEfficiencyWeight: 1,
 };
 
-function createBook(): {
-  book: LeaseBook;
+function createClient(): {
+  client: LeaseClient;
   context: ExecutionContext;
   dispatched: string[];
   takeSent(): PeerMessage[];
@@ -75,7 +75,7 @@
     quarantine: new CrashQuarantine(DEFAULT_CORE_SETTINGS),
     publishStrikes: () => {},
     retryBudget: new RetryBudget(0.1),
-    tickets: new TicketBook({
+    tickets: new TicketIssuer({
       selfId: "entry-1",
       incarnation: "1",
       secret: new Uint8Array(32),
@@ -86,12 +86,12 @@
     emit: (effect) => effects.push(effect),
   });
   const dispatched: string[] = [];
-  const book = new LeaseBook(context, {
+  const client = new LeaseClient(context, {
     dispatch: (request) => dispatched.push(request.id),
     reassign: () => {},
   });
   return {
-    book,
+    client: client,
     context,
     dispatched,
     takeSent: () =>
@@ -103,7 +103,7 @@
 
 function addRequest(
   context: ExecutionContext,
-  book: LeaseBook,
+  client: LeaseClient,
   options: { requestId: string; maxRunMs: number } = {
     requestId: "r1",
     maxRunMs: ROUTE.maxRunMs,
@@ -125,12 +125,12 @@
     needsTicket: false,
   }, 0);
   context.requests.set(request.id, request);
-  book.addWaiting(request, UPSTREAM, 0);
+  client.addWaiting(request, UPSTREAM, 0);
 }
 
 test("a grant that is sent twice is not returned while its run goes on", () => {
-  const { book, context, dispatched, takeSent } = createBook();
-  addRequest(context, book);
+  const { client: client, context, dispatched, takeSent } = createClient();
+  addRequest(context, client);
   const [asked] = takeSent();
   assert.is(asked?.kind, "leaseRequest");
   if (asked?.kind !== "leaseRequest") return;
@@ -147,22 +147,22 @@
     upstreamIncarnation: "1",
     loaded: false,
   } as const;
-  book.handleLeaseGrant("entry-1", grant, 600);
+  client.handleLeaseGrant("entry-1", grant, 600);
   assert.equal(dispatched, ["r1"]);
-  book.handleLeaseGrant("entry-1", grant, 601);
+  client.handleLeaseGrant("entry-1", grant, 601);
   assert.equal(takeSent(), []);
 });
 
 test("a lease for shorter runs serves no longer run", () => {
-  const { book, context, dispatched, takeSent } = createBook();
-  addRequest(context, book);
+  const { client: client, context, dispatched, takeSent } = createClient();
+  addRequest(context, client);
   const [asked] = takeSent();
   if (asked?.kind !== "leaseRequest") throw new Error("Expected a request");
-  addRequest(context, book, { requestId: "r2", maxRunMs: 60_000 });
+  addRequest(context, client, { requestId: "r2", maxRunMs: 60_000 });
   const [askedLonger] = takeSent();
   if (askedLonger?.kind !== "leaseRequest") throw new Error("Expected another");
   assert.is(askedLonger.maxRunMs, 60_000);
-  book.handleLeaseGrant("entry-1", {
+  client.handleLeaseGrant("entry-1", {
     kind: "leaseGrant",
     leaseRequestId: asked.leaseRequestId,
     leaseId: "lease-1",
@@ -179,8 +179,8 @@
 });
 
 test("a grant that nothing waits for is returned whole", () => {
-  const { book, takeSent } = createBook();
-  book.handleLeaseGrant("entry-1", {
+  const { client: client, takeSent } = createClient();
+  client.handleLeaseGrant("entry-1", {
     kind: "leaseGrant",
     leaseRequestId: "unknown",
     leaseId: "lease-2",
--- a/test/core/execution/lease_holding_test.ts
+++ b/test/core/execution/lease_holding_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { LeaseHolding } from "../../../src/core/execution/lease_holding.ts";
+import { LeaseGroup } from "../../../src/core/execution/lease_holding.ts";
 import type { LeaseGrantMessage } from "../../../src/core/messages.ts";
 
 const MARGIN_MS = 100;
@@ -26,14 +26,14 @@
 }
 
 test("counts the window from the sending that was granted", () => {
-  const holding = new LeaseHolding("engine-1", "briefing@v1");
+  const holding = new LeaseGroup("engine-1", "briefing@v1");
   holding.addLease(createGrant(), MARGIN_MS, 1_500);
   assert.ok(holding.tryTakeCredit(false, 2_899));
   assert.is(holding.tryTakeCredit(false, 2_900), undefined);
 });
 
 test("returns credits as a growing total", () => {
-  const holding = new LeaseHolding("engine-1", "briefing@v1");
+  const holding = new LeaseGroup("engine-1", "briefing@v1");
   holding.addLease(createGrant(), MARGIN_MS, 1_000);
   const credit = holding.tryTakeCredit(false, 1_000);
   assert.equal(holding.takeIdleCredits(0, 1_001), [
@@ -47,7 +47,7 @@
 });
 
 test("never returns the credit of a run that may go on", () => {
-  const holding = new LeaseHolding("engine-1", "briefing@v1");
+  const holding = new LeaseGroup("engine-1", "briefing@v1");
   holding.addLease(createGrant({ credits: 1 }), MARGIN_MS, 1_000);
   const credit = holding.tryTakeCredit(false, 1_000);
   holding.abandonCredit(credit?.leaseId ?? "");
