--- a/src/core/control_plane.ts
+++ b/src/core/control_plane.ts
@@ -7,7 +7,7 @@
 import { rankByRendezvous } from "./hashing.ts";
 import type { Membership } from "./membership/membership.ts";
 import { PeerProtocol } from "./membership/peer_protocol.ts";
-import { PlatformReaders } from "./membership/platform_readers.ts";
+import { PlatformReaderElection } from "./membership/platform_readers.ts";
 import type {
   ControlMessage,
   EvictionDigest,
@@ -54,7 +54,7 @@
   readonly #options: ControlPlaneOptions;
   readonly #protocol: PeerProtocol;
   readonly #exchange: TableExchange;
-  readonly #readers: PlatformReaders;
+  readonly #readers: PlatformReaderElection;
   /** Start of this process, or the end of its last pause. */
   #beganAt: Milliseconds;
   #isPlatformHeard = false;
@@ -65,7 +65,7 @@
     const { tables, membership, emit } = options;
     this.#options = options;
     this.#beganAt = now;
-    this.#readers = new PlatformReaders(options.selfId, now);
+    this.#readers = new PlatformReaderElection(options.selfId, now);
     this.#exchange = new TableExchange(tables, {
       emit,
       handleTablesAccepted: (at) => this.#handleTablesAccepted(at),
@@ -106,7 +106,8 @@
   isReadyToServe(now: Milliseconds): boolean {
     const { tables, settings } = this.#options;
     if (!tables.getSnapshot() || !this.isSettled(now)) return false;
-    const hasAsked = this.#isPlatformHeard || this.#protocol.hasHeardPeer();
+    const hasAsked = this.#isPlatformHeard ||
+      this.#protocol.hasReceivedPeerState();
     const isTooLate = now - this.#beganAt >=
       settings.startGraceMs * MAX_START_GRACES;
     const isUpToDate = this.#protocol.hasJoined() &&
@@ -117,7 +118,7 @@
   /** Takes the tables as the platform publishes them. */
   offerTables(tables: TablesStructure, now: Milliseconds): void {
     this.#isPlatformHeard = true;
-    this.#readers.recordReading(true, now);
+    this.#readers.recordReadResult(true, now);
     this.#exchange.offerTables(tables, now);
   }
 
@@ -135,12 +136,12 @@
   /** Records that the platform was read and has nothing newer. */
   recordPlatformReached(now: Milliseconds): void {
     this.#isPlatformHeard = true;
-    this.#readers.recordReading(true, now);
+    this.#readers.recordReadResult(true, now);
   }
 
   recordPlatformUnreached(now: Milliseconds): void {
     this.#isPlatformHeard = true;
-    this.#readers.recordReading(false, now);
+    this.#readers.recordReadResult(false, now);
   }
 
   /** Publishes what this daemon, as the owner, knows of the upstream. */
@@ -274,10 +275,10 @@
       settings.startGraceMs * UNKNOWN_PEER_GRACES;
     const isReading = this.#readers.update({
       peers: [
-        ...membership.listStayingPeers(),
+        ...membership.listNonLeavingPeers(),
         ...(isStarting ? membership.listUnknownPeers() : []),
       ],
-      daemons: membership.directory.countEntryHosts(),
+      daemonCount: membership.directory.countEntryHosts(),
       isAwaitingPeers,
       isLeaving: membership.isSelfLeaving(),
     }, now);
--- a/src/core/membership/byte_budget.ts
+++ b/src/core/membership/byte_budget.ts
@@ -1,7 +1,7 @@
 /** A token bucket of bytes: saves up what is not used, to a bound, and may be overdrawn once. */
 import type { Milliseconds } from "../structures.ts";
 
-export class ByteBudget {
+export class ByteTokenBucket {
   readonly #burstBytes: number;
   #bytes: number;
   #refilledAt: Milliseconds | undefined;
--- a/src/core/membership/control_periods.ts
+++ b/src/core/membership/control_periods.ts
@@ -13,16 +13,16 @@
 const LOAD_BYTES = 8;
 
 /** Records of other members that a probe carries. */
-export const PROBE_WINDOW_MEMBERS = 8;
+export const PIGGYBACKED_MEMBERS = 8;
 /** Time that a large failure domain leaves between probes of silent hosts, per member. */
-const REVIVAL_MS_PER_MEMBER = 25;
+const RECONNECT_MS_PER_MEMBER = 25;
 /** Part of the load period for which a load update may wait for company. */
-const LOAD_HOLD_RATIO = 0.1;
+const LOAD_BATCHING_RATIO = 0.1;
 
-export class ControlPeriods {
+export class ControlIntervals {
   readonly #heartbeatIntervalMs: Milliseconds;
-  #members = 1;
-  #domainUpstreams = 0;
+  #memberCount = 1;
+  #upstreamCount = 0;
 
   constructor(heartbeatIntervalMs: Milliseconds) {
     this.#heartbeatIntervalMs = heartbeatIntervalMs;
@@ -30,54 +30,54 @@
 
   /** Sets the sizes of this failure domain: live daemons and upstreams. */
   setSizes(members: number, domainUpstreams: number): void {
-    this.#members = members;
-    this.#domainUpstreams = domainUpstreams;
+    this.#memberCount = members;
+    this.#upstreamCount = domainUpstreams;
   }
 
   /** Returns the time between two probes of this daemon. */
-  getProbeMs(): Milliseconds {
-    const window = Math.min(PROBE_WINDOW_MEMBERS, this.#members - 1);
-    const bytes = 2 * (MESSAGE_BYTES + window * MEMBER_RECORD_BYTES);
-    return this.#computePeriodMs(bytes, PROBE_BUDGET_BYTES_PER_SECOND);
+  getProbeIntervalMs(): Milliseconds {
+    const piggybacked = Math.min(PIGGYBACKED_MEMBERS, this.#memberCount - 1);
+    const bytes = 2 * (MESSAGE_BYTES + piggybacked * MEMBER_RECORD_BYTES);
+    return this.#computeIntervalMs(bytes, PROBE_BUDGET_BYTES_PER_SECOND);
   }
 
   /** Returns the time between two probes of hosts that are not heard. */
-  getRevivalMs(): Milliseconds {
+  getReconnectIntervalMs(): Milliseconds {
     return Math.max(
-      this.getProbeMs(),
-      this.#members * REVIVAL_MS_PER_MEMBER,
+      this.getProbeIntervalMs(),
+      this.#memberCount * RECONNECT_MS_PER_MEMBER,
     );
   }
 
   /** Returns the time between two reports of changed load. */
-  getLoadMs(): Milliseconds {
-    return this.#computePeriodMs(
-      this.#domainUpstreams * LOAD_BYTES,
+  getLoadIntervalMs(): Milliseconds {
+    return this.#computeIntervalMs(
+      this.#upstreamCount * LOAD_BYTES,
       LOAD_BUDGET_BYTES_PER_SECOND,
     );
   }
 
   /** Returns the time for which a load update may wait for others to the same peer. */
-  getLoadHoldMs(): Milliseconds {
-    return this.getLoadMs() * LOAD_HOLD_RATIO;
+  getLoadBatchingMs(): Milliseconds {
+    return this.getLoadIntervalMs() * LOAD_BATCHING_RATIO;
   }
 
   /** Returns the time between two signs of life on a link. */
-  getLinkMs(): Milliseconds {
-    return this.getProbeMs();
+  getLinkHeartbeatMs(): Milliseconds {
+    return this.getProbeIntervalMs();
   }
 
   /** Returns the time between reports of changed load on a link. */
-  getLinkLoadMs(digestBytes: number): Milliseconds {
-    return this.#computePeriodMs(digestBytes, LINK_BUDGET_BYTES_PER_SECOND);
+  getLinkLoadIntervalMs(digestBytes: number): Milliseconds {
+    return this.#computeIntervalMs(digestBytes, LINK_BUDGET_BYTES_PER_SECOND);
   }
 
   /** Returns the bytes a second that one daemon may publish of its own state. */
   getStateBytesPerSecond(): number {
-    return STATE_BUDGET_BYTES_PER_SECOND / this.#members;
+    return STATE_BUDGET_BYTES_PER_SECOND / this.#memberCount;
   }
 
-  #computePeriodMs(bytes: number, bytesPerSecond: number): Milliseconds {
+  #computeIntervalMs(bytes: number, bytesPerSecond: number): Milliseconds {
     return Math.max(
       this.#heartbeatIntervalMs,
       Math.ceil(bytes * 1_000 / bytesPerSecond),
--- a/src/core/membership/domain_link.ts
+++ b/src/core/membership/domain_link.ts
@@ -23,13 +23,13 @@
   strikes: StrikeDigest[];
 }
 
-export interface LinkPeriods {
+export interface LinkIntervals {
   /** Longest silence. */
-  linkMs: Milliseconds;
+  heartbeatMs: Milliseconds;
   /** Silence after which the other side is taken for dead. */
   timeoutMs: Milliseconds;
   /** Time between reports of load that changed. */
-  loadMs: Milliseconds;
+  loadIntervalMs: Milliseconds;
 }
 
 /** Fields of a link update that the link decides. */
@@ -43,7 +43,7 @@
   | "evictions"
 >;
 
-export class DomainLink {
+export class LinkSender {
   readonly failureDomain: string;
   readonly #sent = new Map<string, PublishedDigest>();
   readonly #sentStrikes = new Map<string, number>();
@@ -53,7 +53,7 @@
   #sequence = 0;
   #needsFull = true;
   /** Whether the present target has answered; until then it is told nothing but that this side is here. */
-  #isAnswered = false;
+  #hasTargetAnswered = false;
   #lastSentAt = Number.NEGATIVE_INFINITY;
   #lastLoadAt = Number.NEGATIVE_INFINITY;
   #lastAckAt: Milliseconds;
@@ -73,7 +73,7 @@
     );
     if (this.getTargetId() === known) return;
     this.#needsFull = true;
-    this.#isAnswered = false;
+    this.#hasTargetAnswered = false;
   }
 
   getTargetId(): string | undefined {
@@ -88,21 +88,21 @@
   recordAck(from: string, ack: LinkAckMessage, now: Milliseconds): void {
     if (from !== this.getTargetId()) return;
     this.#lastAckAt = now;
-    this.#isAnswered = true;
+    this.#hasTargetAnswered = true;
     if (ack.needsFull) this.#needsFull = true;
   }
 
   /** Returns the update that is due, or undefined. */
   takeUpdate(
     content: LinkContent,
-    periods: LinkPeriods,
+    intervals: LinkIntervals,
     now: Milliseconds,
   ): LinkUpdateBody | undefined {
-    if (now - this.#lastAckAt >= periods.timeoutMs) this.#tryNextTarget(now);
+    if (now - this.#lastAckAt >= intervals.timeoutMs) this.#tryNextTarget(now);
     if (this.getTargetId() === undefined) return undefined;
-    if (!this.#isAnswered) return this.#takeGreeting(periods, now);
+    if (!this.#hasTargetAnswered) return this.#takeEmptyUpdate(intervals, now);
     if (this.#needsFull) this.#sent.clear();
-    const isLoadDue = now - this.#lastLoadAt >= periods.loadMs;
+    const isLoadDue = now - this.#lastLoadAt >= intervals.loadIntervalMs;
     const digests = this.#listChanged(content, isLoadDue);
     const removedUpstreamIds = [...this.#sent.keys()].filter((id) =>
       !content.digests.has(id)
@@ -113,7 +113,7 @@
     const isDue = this.#needsFull || digests.length > 0 ||
       removedUpstreamIds.length > 0 || strikes.length > 0 ||
       this.#evictions.length > 0 ||
-      now - this.#lastSentAt >= periods.linkMs;
+      now - this.#lastSentAt >= intervals.heartbeatMs;
     if (!isDue) return undefined;
     if (isLoadDue) this.#lastLoadAt = now;
     this.#lastSentAt = now;
@@ -138,15 +138,15 @@
     this.#targetIndex = (this.#targetIndex + 1) %
       Math.max(1, this.#targets.length);
     this.#needsFull = true;
-    this.#isAnswered = false;
+    this.#hasTargetAnswered = false;
   }
 
   /** Returns an update without content, when it is due. */
-  #takeGreeting(
-    periods: LinkPeriods,
+  #takeEmptyUpdate(
+    periods: LinkIntervals,
     now: Milliseconds,
   ): LinkUpdateBody | undefined {
-    if (now - this.#lastSentAt < periods.linkMs) return undefined;
+    if (now - this.#lastSentAt < periods.heartbeatMs) return undefined;
     this.#lastSentAt = now;
     this.#sequence += 1;
     return {
--- a/src/core/membership/failure_detector.ts
+++ b/src/core/membership/failure_detector.ts
@@ -16,8 +16,8 @@
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 import {
-  type ControlPeriods,
-  PROBE_WINDOW_MEMBERS,
+  type ControlIntervals,
+  PIGGYBACKED_MEMBERS,
 } from "./control_periods.ts";
 import {
   describeMember,
@@ -26,17 +26,17 @@
 } from "./member_table.ts";
 
 /** Daemons asked to probe one that does not answer. */
-const INDIRECT_PROBERS = 3;
+const INDIRECT_PROBE_COUNT = 3;
 /** Part of the probe period after which others are asked. */
-const INDIRECT_AFTER_RATIO = 0.5;
+const INDIRECT_PROBE_DELAY_RATIO = 0.5;
 /** Part of the peer timeout for which a daemon has been silent, at the least, when it is taken for dead. */
-export const DEATH_AFTER_RATIO = 0.8;
+export const DEAD_TIMEOUT_RATIO = 0.8;
 /** Silent hosts probed at once while this daemon knows nobody. */
-const FIRST_PROBES = 8;
+const ISOLATED_PROBE_COUNT = 8;
 /** Gap between ticks beyond which timers are moved on by it. */
 const STALL_THRESHOLD_MS = 100;
 /** Time for which the answer to a probe for another daemon is waited for. */
-const RELAY_KEPT_MS = 2_000;
+const RELAYED_PROBE_TIMEOUT_MS = 2_000;
 
 interface PendingProbe {
   targetId: string;
@@ -53,14 +53,14 @@
 export interface FailureDetectorOptions {
   selfId: string;
   peerTimeoutMs: Milliseconds;
-  periods: ControlPeriods;
+  intervals: ControlIntervals;
   members: MemberTable;
   emit: (effect: Effect) => void;
   describeSelf: () => MemberRecord;
   getRevisions: () => KnownRevisions;
   getStrikes: (now: Milliseconds) => StrikeDigest[];
   /** Called when this daemon has come to another view of a member. */
-  reportChange: (member: Member, now: Milliseconds) => void;
+  reportStatusChange: (member: Member, now: Milliseconds) => void;
 }
 
 export class FailureDetector {
@@ -69,24 +69,24 @@
   readonly #relayed = new Map<number, RelayedProbe>();
   #order: string[] = [];
   #round = 0;
-  #windowStart = 0;
-  #revivalStart = 0;
+  #piggybackIndex = 0;
+  #reconnectIndex = 0;
   #lastProbeId = 0;
   #lastTickAt: Milliseconds | undefined;
   #nextProbeAt = Number.NEGATIVE_INFINITY;
-  #nextRevivalAt = Number.NEGATIVE_INFINITY;
+  #nextReconnectAt = Number.NEGATIVE_INFINITY;
 
   constructor(options: FailureDetectorOptions) {
     this.#options = options;
   }
 
   tick(now: Milliseconds): void {
-    this.#moveTimersPastStall(now);
+    this.#advanceTimersByStall(now);
     this.#checkPending(now);
     this.#checkSuspects(now);
-    if (now >= this.#nextRevivalAt) this.#sendProbesToSilentHosts(now);
+    if (now >= this.#nextReconnectAt) this.#sendProbesToMissingHosts(now);
     if (now >= this.#nextProbeAt) {
-      this.#nextProbeAt = now + this.#options.periods.getProbeMs();
+      this.#nextProbeAt = now + this.#options.intervals.getProbeIntervalMs();
       const targetId = this.#selectTarget();
       if (targetId !== undefined) {
         this.#sendProbe(targetId, this.#createProbeId(), now, true);
@@ -100,7 +100,7 @@
     this.#relayed.clear();
     this.#order = [];
     this.#nextProbeAt = Number.NEGATIVE_INFINITY;
-    this.#nextRevivalAt = Number.NEGATIVE_INFINITY;
+    this.#nextReconnectAt = Number.NEGATIVE_INFINITY;
   }
 
   handleProbe(from: string, probe: ProbeMessage): void {
@@ -111,7 +111,7 @@
         kind: "probeAck",
         probeId: probe.probeId,
         sender: this.#options.describeSelf(),
-        members: this.#describeWindow(from),
+        members: this.#selectPiggybackedMembers(from),
         ...this.#options.getRevisions(),
       },
     });
@@ -146,7 +146,7 @@
   }
 
   /** Moves timers on by the time for which this process did not run. */
-  #moveTimersPastStall(now: Milliseconds): void {
+  #advanceTimersByStall(now: Milliseconds): void {
     const stallMs = now - (this.#lastTickAt ?? now);
     this.#lastTickAt = now;
     if (stallMs < STALL_THRESHOLD_MS) return;
@@ -157,60 +157,67 @@
   }
 
   #checkPending(now: Milliseconds): void {
-    const periodMs = this.#options.periods.getProbeMs();
+    const intervalMs = this.#options.intervals.getProbeIntervalMs();
     for (const [probeId, probe] of this.#pending) {
       const ageMs = now - probe.sentAt;
       const member = this.#options.members.get(probe.targetId);
       if (!member || member.lastHeardAt >= probe.sentAt) {
         this.#pending.delete(probeId);
-      } else if (ageMs >= periodMs) {
+      } else if (ageMs >= intervalMs) {
         this.#pending.delete(probeId);
         this.#markSuspect(member, now);
       } else if (
-        ageMs >= periodMs * INDIRECT_AFTER_RATIO && !probe.isIndirect
+        ageMs >= intervalMs * INDIRECT_PROBE_DELAY_RATIO && !probe.isIndirect
       ) {
         probe.isIndirect = true;
         this.#requestProbes(probeId, probe.targetId);
       }
     }
     for (const [probeId, relayed] of this.#relayed) {
-      if (now - relayed.sentAt >= RELAY_KEPT_MS) this.#relayed.delete(probeId);
+      if (now - relayed.sentAt >= RELAYED_PROBE_TIMEOUT_MS) {
+        this.#relayed.delete(probeId);
+      }
     }
   }
 
   #markSuspect(member: Member, now: Milliseconds): void {
     if (member.status !== MemberStatus.Alive) return;
     this.#options.members.setStatus(member, MemberStatus.Suspect, now);
-    this.#options.reportChange(member, now);
+    this.#options.reportStatusChange(member, now);
   }
 
   #checkSuspects(now: Milliseconds): void {
-    const { members, peerTimeoutMs, periods } = this.#options;
+    const { members, peerTimeoutMs, intervals: periods } = this.#options;
     const suspicionMs = Math.max(
-      peerTimeoutMs * DEATH_AFTER_RATIO - periods.getProbeMs(),
-      periods.getProbeMs(),
+      peerTimeoutMs * DEAD_TIMEOUT_RATIO - periods.getProbeIntervalMs(),
+      periods.getProbeIntervalMs(),
     );
     for (const member of members.getAll()) {
       if (member.status !== MemberStatus.Suspect) continue;
       if (now - member.statusSince < suspicionMs) continue;
-      const isHeard = member.lastHeardAt >= member.statusSince;
-      const status = isHeard ? MemberStatus.Alive : MemberStatus.Dead;
+      const hasResponded = member.lastHeardAt >= member.statusSince;
+      const status = hasResponded ? MemberStatus.Alive : MemberStatus.Dead;
       members.setStatus(member, status, now);
-      if (!isHeard) this.#options.reportChange(member, now);
+      if (!hasResponded) this.#options.reportStatusChange(member, now);
     }
   }
 
   /** Probes hosts of which nothing is known or that are taken for dead, in turn. */
-  #sendProbesToSilentHosts(now: Milliseconds): void {
-    const { members, periods } = this.#options;
-    const isAlone = members.getRing().length === 1;
-    this.#nextRevivalAt = now +
-      (isAlone ? periods.getProbeMs() : periods.getRevivalMs());
-    const silent = members.listSilentHosts();
-    const count = Math.min(silent.length, isAlone ? FIRST_PROBES : 1);
+  #sendProbesToMissingHosts(now: Milliseconds): void {
+    const { members, intervals: periods } = this.#options;
+    const isIsolated = members.getRing().length === 1;
+    this.#nextReconnectAt = now +
+      (isIsolated
+        ? periods.getProbeIntervalMs()
+        : periods.getReconnectIntervalMs());
+    const missing = members.listMissingHosts();
+    const count = Math.min(
+      missing.length,
+      isIsolated ? ISOLATED_PROBE_COUNT : 1,
+    );
     for (let index = 0; index < count; index += 1) {
-      this.#revivalStart += 1;
-      const id = silent[this.#revivalStart % silent.length];
+      this.#reconnectIndex += 1;
+      const id = missing[this.#reconnectIndex % missing.length];
       if (id !== undefined) {
         this.#sendProbe(id, this.#createProbeId(), now, false);
       }
@@ -236,14 +243,14 @@
 
   #requestProbes(probeId: number, targetId: string): void {
     const { members, selfId, emit } = this.#options;
-    const helpers = members.getRing()
+    const candidates = members.getRing()
       .filter((id) => id !== selfId && id !== targetId)
       .map((id) => ({ id }));
-    const ranked = rankByRendezvous(`${targetId}#${probeId}`, helpers);
-    for (const helper of ranked.slice(0, INDIRECT_PROBERS)) {
+    const ranked = rankByRendezvous(`${targetId}#${probeId}`, candidates);
+    for (const candidate of ranked.slice(0, INDIRECT_PROBE_COUNT)) {
       emit({
         kind: "send",
-        to: helper.id,
+        to: candidate.id,
         message: { kind: "probeRequest", probeId, targetId },
       });
     }
@@ -253,10 +260,10 @@
     targetId: string,
     probeId: number,
     now: Milliseconds,
-    isJudged: boolean,
+    isTracked: boolean,
   ): void {
     const { emit, describeSelf, getRevisions, getStrikes } = this.#options;
-    if (isJudged) {
+    if (isTracked) {
       this.#pending.set(probeId, { targetId, sentAt: now, isIndirect: false });
     }
     emit({
@@ -266,7 +273,7 @@
         kind: "probe",
         probeId,
         sender: describeSelf(),
-        members: this.#describeWindow(targetId),
+        members: this.#selectPiggybackedMembers(targetId),
         strikes: getStrikes(now),
         ...getRevisions(),
       },
@@ -274,20 +281,20 @@
   }
 
   /** Returns the receiver's own record and some others in turn. */
-  #describeWindow(receiverId: string): MemberRecord[] {
+  #selectPiggybackedMembers(receiverId: string): MemberRecord[] {
     const members = [...this.#options.members.getAll()];
-    const count = Math.min(PROBE_WINDOW_MEMBERS, members.length);
-    const window: MemberRecord[] = [];
+    const count = Math.min(PIGGYBACKED_MEMBERS, members.length);
+    const selected: MemberRecord[] = [];
     const receiver = this.#options.members.get(receiverId);
-    if (receiver) window.push(describeMember(receiver));
+    if (receiver) selected.push(describeMember(receiver));
     for (let index = 0; index < count; index += 1) {
-      this.#windowStart = (this.#windowStart + 1) % members.length;
-      const member = members[this.#windowStart];
+      this.#piggybackIndex = (this.#piggybackIndex + 1) % members.length;
+      const member = members[this.#piggybackIndex];
       if (member && member.id !== receiverId) {
-        window.push(describeMember(member));
+        selected.push(describeMember(member));
       }
     }
-    return window;
+    return selected;
   }
 
   #createProbeId(): number {
--- a/src/core/membership/host_directory.ts
+++ b/src/core/membership/host_directory.ts
@@ -76,13 +76,13 @@
    * Returns the upstreams of the failure domain that it tells another of: of
    * each pool that spans both, a bounded number that is always the same.
    */
-  selectToldUpstreams(
+  selectExportedUpstreams(
     failureDomain: string,
     otherDomain: string,
     pools: readonly PoolStructure[],
     maxPerPool: number,
   ): string[] {
-    const told = new Set<string>();
+    const exported = new Set<string>();
     for (const pool of pools) {
       const spansBoth = pool.failureDomains.includes(failureDomain) &&
         pool.failureDomains.includes(otherDomain);
@@ -90,8 +90,8 @@
       const hosts = this.#pools.getUpstreams(pool.service, failureDomain)
         .filter((host) => host.state !== HostState.Leaving);
       const ranked = rankByRendezvous(otherDomain, hosts);
-      for (const host of ranked.slice(0, maxPerPool)) told.add(host.id);
+      for (const host of ranked.slice(0, maxPerPool)) exported.add(host.id);
     }
-    return [...told];
+    return [...exported];
   }
 }
--- a/src/core/membership/link_manager.ts
+++ b/src/core/membership/link_manager.ts
@@ -14,46 +14,46 @@
   StrikeDigest,
 } from "../messages.ts";
 import type { Milliseconds, PoolStructure } from "../structures.ts";
-import type { ControlPeriods } from "./control_periods.ts";
+import type { ControlIntervals } from "./control_periods.ts";
 import {
-  DomainLink,
   estimateContentBytes,
   type LinkContent,
+  LinkSender,
 } from "./domain_link.ts";
 import type { HostDirectory } from "./host_directory.ts";
-import { LinkReceiver, type ToldContent } from "./link_receiver.ts";
+import { LinkReceiver, type RemoteState } from "./link_receiver.ts";
 import type { ViewStore } from "./view_store.ts";
 
 /** Daemons that tell one other failure domain. */
 const LINKS_PER_DOMAIN = 2;
 /** Upstreams of one pool that another failure domain is told of. */
-const MAX_TOLD_PER_POOL = 8;
+const MAX_EXPORTED_PER_POOL = 8;
 /** Time between looks at what has changed. */
-const LINK_CHECK_MS = 20;
+const LINK_CHECK_INTERVAL_MS = 20;
 /** Silent periods after which the other side is taken for dead. */
-const SILENT_PERIODS = 4;
+const MAX_MISSED_HEARTBEATS = 4;
 
 export interface LinkManagerOptions {
   selfId: string;
   incarnation: string;
   failureDomain: string;
   peerTimeoutMs: Milliseconds;
-  periods: ControlPeriods;
+  intervals: ControlIntervals;
   views: ViewStore;
   emit: (effect: Effect) => void;
   getRing: () => readonly string[];
   getRevisions: () => KnownRevisions;
   getStrikes: (now: Milliseconds) => StrikeDigest[];
   /** Takes what other failure domains say of their upstreams, all of it. */
-  publishRemote: (told: ToldContent, now: Milliseconds) => void;
-  getStoreKeeperId: () => string | undefined;
+  publishRemote: (remote: RemoteState, now: Milliseconds) => void;
+  getStoreCoordinatorId: () => string | undefined;
 }
 
 export class LinkManager {
   readonly #options: LinkManagerOptions;
   readonly #receiver = new LinkReceiver();
-  readonly #links = new Map<string, DomainLink>();
-  readonly #told = new Map<string, string[]>();
+  readonly #links = new Map<string, LinkSender>();
+  readonly #exportedIds = new Map<string, string[]>();
   #directory: HostDirectory;
   #pools: readonly PoolStructure[] = [];
   #ring: readonly string[] | undefined;
@@ -66,7 +66,7 @@
 
   setDirectory(directory: HostDirectory): void {
     this.#directory = directory;
-    this.#told.clear();
+    this.#exportedIds.clear();
     this.#ring = undefined;
   }
 
@@ -79,11 +79,11 @@
   setPools(pools: readonly PoolStructure[]): void {
     if (pools === this.#pools) return;
     this.#pools = pools;
-    this.#told.clear();
+    this.#exportedIds.clear();
   }
 
   tick(now: Milliseconds): void {
-    if (now - this.#lastCheckAt < LINK_CHECK_MS) return;
+    if (now - this.#lastCheckAt < LINK_CHECK_INTERVAL_MS) return;
     this.#lastCheckAt = now;
     if (this.#ring !== this.#options.getRing()) this.#assignLinks(now);
     this.sendUpdates(now);
@@ -98,7 +98,7 @@
   }
 
   /** Returns whether the update comes from a daemon of the domain that it names. */
-  isGenuine(from: string, update: LinkUpdateMessage): boolean {
+  isFromNamedDomain(from: string, update: LinkUpdateMessage): boolean {
     const host = this.#directory.getEntryHost(from);
     return host !== undefined && host.failureDomain === update.failureDomain &&
       host.failureDomain !== this.#options.failureDomain;
@@ -138,14 +138,14 @@
       if (!others.includes(domain)) this.#links.delete(domain);
     }
     for (const domain of others) {
-      const isLink = rankByRendezvous(`link\u0000${domain}`, candidates)
+      const isAssigned = rankByRendezvous(`link\u0000${domain}`, candidates)
         .slice(0, LINKS_PER_DOMAIN)
         .some((candidate) => candidate.id === selfId);
-      if (!isLink) {
+      if (!isAssigned) {
         this.#links.delete(domain);
         continue;
       }
-      const link = this.#links.get(domain) ?? new DomainLink(domain, now);
+      const link = this.#links.get(domain) ?? new LinkSender(domain, now);
       this.#links.set(domain, link);
       link.setTargets(
         failureDomain,
@@ -154,13 +154,16 @@
     }
   }
 
-  #sendUpdate(link: DomainLink, now: Milliseconds): void {
-    const { periods, incarnation, failureDomain, emit } = this.#options;
+  #sendUpdate(link: LinkSender, now: Milliseconds): void {
+    const { intervals: periods, incarnation, failureDomain, emit } =
+      this.#options;
     const content = this.#describeContent(link.failureDomain, now);
     const body = link.takeUpdate(content, {
-      linkMs: periods.getLinkMs(),
+      heartbeatMs: periods.getLinkHeartbeatMs(),
       timeoutMs: this.#getTimeoutMs(),
-      loadMs: periods.getLinkLoadMs(estimateContentBytes(content)),
+      loadIntervalMs: periods.getLinkLoadIntervalMs(
+        estimateContentBytes(content),
+      ),
     }, now);
     const to = link.getTargetId();
     if (!body || to === undefined) return;
@@ -171,7 +174,7 @@
         kind: "linkUpdate",
         failureDomain,
         incarnation,
-        storeKeeperId: this.#options.getStoreKeeperId() ?? "",
+        storeKeeperId: this.#options.getStoreCoordinatorId() ?? "",
         ...body,
         ...this.#options.getRevisions(),
       },
@@ -180,7 +183,7 @@
 
   #describeContent(domain: string, now: Milliseconds): LinkContent {
     const digests = new Map<string, PublishedDigest>();
-    for (const upstreamId of this.#getTold(domain)) {
+    for (const upstreamId of this.#getExportedIds(domain)) {
       const view = this.#options.views.getView(upstreamId);
       if (!view) continue;
       const { ownerId, digest } = view;
@@ -189,23 +192,23 @@
     return { digests, strikes: this.#options.getStrikes(now) };
   }
 
-  #getTold(domain: string): string[] {
-    const known = this.#told.get(domain);
+  #getExportedIds(domain: string): string[] {
+    const known = this.#exportedIds.get(domain);
     if (known) return known;
-    const told = this.#directory.selectToldUpstreams(
+    const exported = this.#directory.selectExportedUpstreams(
       this.#options.failureDomain,
       domain,
       this.#pools,
-      MAX_TOLD_PER_POOL,
+      MAX_EXPORTED_PER_POOL,
     );
-    this.#told.set(domain, told);
-    return told;
+    this.#exportedIds.set(domain, exported);
+    return exported;
   }
 
   #getTimeoutMs(): Milliseconds {
     return Math.max(
       this.#options.peerTimeoutMs,
-      this.#options.periods.getLinkMs() * SILENT_PERIODS,
+      this.#options.intervals.getLinkHeartbeatMs() * MAX_MISSED_HEARTBEATS,
     );
   }
 }
--- a/src/core/membership/link_receiver.ts
+++ b/src/core/membership/link_receiver.ts
@@ -16,7 +16,7 @@
 }
 
 /** What other failure domains tell, all of it. */
-export interface ToldContent {
+export interface RemoteState {
   digests: ReadonlyMap<string, PublishedDigest>;
   domains: readonly LinkedDomain[];
 }
@@ -34,12 +34,12 @@
   ): Pick<LinkAckMessage, "incarnation" | "sequence" | "needsFull"> {
     const { incarnation, sequence } = update;
     const known = this.#sources.get(from);
-    const isSameStart = known?.incarnation === incarnation;
-    if (isSameStart && sequence <= known.sequence) {
+    const isSameIncarnation = known?.incarnation === incarnation;
+    if (isSameIncarnation && sequence <= known.sequence) {
       return { incarnation, sequence, needsFull: false };
     }
-    const leadsOn = isSameStart && sequence === known.sequence + 1;
-    if (!update.full && !leadsOn) {
+    const isConsecutive = isSameIncarnation && sequence === known.sequence + 1;
+    if (!update.full && !isConsecutive) {
       if (known) known.lastHeardAt = now;
       return { incarnation, sequence, needsFull: true };
     }
@@ -66,7 +66,7 @@
   }
 
   /** Returns what is told now if it has changed since the last call; the source heard last goes first. */
-  takeChanged(): ToldContent | undefined {
+  takeChanged(): RemoteState | undefined {
     if (!this.#hasChanged) return undefined;
     this.#hasChanged = false;
     const digests = new Map<string, PublishedDigest>();
--- a/src/core/membership/member_table.ts
+++ b/src/core/membership/member_table.ts
@@ -19,12 +19,12 @@
   /** Revision of the tables that it last named; 0 when it has named none. */
   tablesRevision: number;
   /** Version of its state that is held here. */
-  heldVersion: number;
-  heldLoadSequence: number;
+  appliedVersion: number;
+  appliedLoadSequence: number;
   platformReach: PlatformReach;
   linkedDomains: readonly LinkedDomain[];
   /** Who showed a newer version of its state than is held, and when. */
-  behind: { since: Milliseconds; source: string } | undefined;
+  pendingSync: { since: Milliseconds; source: string } | undefined;
 }
 
 /** What a record changed. */
@@ -94,7 +94,7 @@
   }
 
   /** Returns the hosts of which nothing is known, or that are taken for dead. */
-  listSilentHosts(): string[] {
+  listMissingHosts(): string[] {
     return [...this.#hostIds].filter((id) => !this.isLive(id));
   }
 
@@ -103,7 +103,7 @@
     return [...this.#hostIds].every((id) => this.#members.has(id));
   }
 
-  recordHeard(id: string, now: Milliseconds): void {
+  recordContact(id: string, now: Milliseconds): void {
     const member = this.#members.get(id);
     if (member) member.lastHeardAt = now;
   }
@@ -123,7 +123,7 @@
       return this.#applyHigherNumber(known, record, source, now);
     }
     if (record.incarnation !== known.incarnation) return MergeResult.Known;
-    this.#markBehind(known, record.version, source, now);
+    this.#markPendingSync(known, record.version, source, now);
     const isChanged = record.status > known.status ||
       record.leaving && !known.leaving;
     if (!isChanged) return MergeResult.Known;
@@ -158,15 +158,15 @@
       statusSince: now,
       lastHeardAt: Number.NEGATIVE_INFINITY,
       tablesRevision: 0,
-      heldVersion: 0,
-      heldLoadSequence: 0,
+      appliedVersion: 0,
+      appliedLoadSequence: 0,
       platformReach: PlatformReach.NotReading,
       linkedDomains: [],
-      behind: undefined,
+      pendingSync: undefined,
     };
     this.#members.set(record.id, member);
     this.#recordChange();
-    this.#markBehind(member, record.version, source, now);
+    this.#markPendingSync(member, record.version, source, now);
     return MergeResult.Renewed;
   }
 
@@ -183,31 +183,40 @@
     known.leaving = record.leaving;
     this.setStatus(known, record.status, now);
     if (isRenewed) {
-      known.heldVersion = 0;
-      known.heldLoadSequence = 0;
+      known.appliedVersion = 0;
+      known.appliedLoadSequence = 0;
       known.version = 0;
       known.platformReach = PlatformReach.NotReading;
       known.linkedDomains = [];
-      known.behind = undefined;
+      known.pendingSync = undefined;
     }
-    this.#markBehind(known, record.version, source, now);
+    this.#markPendingSync(known, record.version, source, now);
     return isRenewed ? MergeResult.Renewed : MergeResult.Changed;
   }
 
   /** Notes that someone holds a newer version of the daemon's state. */
-  #markBehind(
+  #markPendingSync(
     member: Member,
     version: number,
     source: string,
     now: Milliseconds,
   ): void {
     member.version = Math.max(member.version, version);
-    if (version > member.heldVersion) member.behind ??= { since: now, source };
+    if (version > member.appliedVersion) {
+      member.pendingSync ??= { since: now, source };
+    }
   }
 }
 
 /** Returns the plain record of a member, as messages carry it. */
 export function describeMember(member: Member): MemberRecord {
-  const { id, incarnation, number, status, leaving, heldVersion } = member;
+  const {
+    id,
+    incarnation,
+    number,
+    status,
+    leaving,
+    appliedVersion: heldVersion,
+  } = member;
   return { id, incarnation, number, status, leaving, version: heldVersion };
 }
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -44,21 +44,21 @@
 }
 
 /** Key by which the keeper of the weight store is chosen. */
-const STORE_KEY = "weight-store";
+const STORE_COORDINATOR_KEY = "weight-store";
 
-interface CachedOwner {
+interface CachedChoice {
   epoch: number;
-  ownerId: string | undefined;
+  daemonId: string | undefined;
 }
 
 export class Membership {
   readonly members: MemberTable;
   readonly views = new ViewStore();
   readonly #options: MembershipOptions;
-  readonly #owners = new Map<string, CachedOwner>();
+  readonly #owners = new Map<string, CachedChoice>();
   #directory = new HostDirectory([]);
   #candidates: { epoch: number; hosts: { id: string }[] } | undefined;
-  #storeKeeper: CachedOwner | undefined;
+  #storeCoordinator: CachedChoice | undefined;
   #linkedDomains: readonly LinkedDomain[] = [];
   #epoch = 0;
   #isSelfLeaving = false;
@@ -109,9 +109,9 @@
     now: Milliseconds,
   ): MergeResult {
     const result = this.members.merge(record, source, now);
-    const isVoid = result === MergeResult.Renewed ||
+    const isStateInvalid = result === MergeResult.Renewed ||
       (result === MergeResult.Changed && !this.members.isLive(record.id));
-    if (isVoid) this.views.removePublisher(record.id);
+    if (isStateInvalid) this.views.removePublisher(record.id);
     return result;
   }
 
@@ -214,9 +214,9 @@
       return this.views.getView(upstreamId)?.ownerId;
     }
     const known = this.#owners.get(upstreamId);
-    if (known?.epoch === this.epoch) return known.ownerId;
+    if (known?.epoch === this.epoch) return known.daemonId;
     const ownerId = findRendezvousWinner(upstreamId, this.#getCandidates())?.id;
-    this.#owners.set(upstreamId, { epoch: this.epoch, ownerId });
+    this.#owners.set(upstreamId, { epoch: this.epoch, daemonId: ownerId });
     return ownerId;
   }
 
@@ -257,23 +257,26 @@
    * Returns the daemon that keeps a failure domain's part of the weight store:
    * for this domain by its live daemons, for others as their links tell.
    */
-  getStoreKeeperId(failureDomain: string): string | undefined {
+  getStoreCoordinatorId(failureDomain: string): string | undefined {
     if (failureDomain !== this.#options.failureDomain) {
       return this.#findLinkedDomain(failureDomain)?.storeKeeperId || undefined;
     }
-    if (this.#storeKeeper?.epoch !== this.epoch) {
-      this.#storeKeeper = {
+    if (this.#storeCoordinator?.epoch !== this.epoch) {
+      this.#storeCoordinator = {
         epoch: this.epoch,
-        ownerId: findRendezvousWinner(STORE_KEY, this.#getCandidates())?.id,
+        daemonId: findRendezvousWinner(
+          STORE_COORDINATOR_KEY,
+          this.#getCandidates(),
+        )?.id,
       };
     }
-    return this.#storeKeeper.ownerId;
+    return this.#storeCoordinator.daemonId;
   }
 
   /** Returns the keepers of the other failure domains that a link tells of. */
-  listOtherStoreKeeperIds(): string[] {
+  listOtherStoreCoordinatorIds(): string[] {
     return this.#directory.listOtherDomains(this.#options.failureDomain)
-      .map((domain) => this.getStoreKeeperId(domain))
+      .map((domain) => this.getStoreCoordinatorId(domain))
       .filter((id) => id !== undefined);
   }
 
@@ -286,22 +289,25 @@
    * Returns an upstream of the same service, other than the given one, that
    * has the adapter, or that is about to load it and comes before it in order.
    */
-  findHolder(adapterKey: string, upstream: HostStructure): string | undefined {
+  findRedirectTarget(
+    adapterKey: string,
+    upstream: HostStructure,
+  ): string | undefined {
     for (const id of this.getAdapterUpstreamIds(adapterKey)) {
       const view = this.getUpstreamView(id);
       if (id === upstream.id || !view?.digest.up || view.digest.leaving) {
         continue;
       }
       if (this.getUpstreamHost(id)?.service !== upstream.service) continue;
-      const isHolder = view.digest.residents.includes(adapterKey) ||
+      const isTarget = view.digest.residents.includes(adapterKey) ||
         id < upstream.id;
-      if (isHolder) return id;
+      if (isTarget) return id;
     }
     return undefined;
   }
 
   /** Returns the live daemons of this failure domain that are not leaving, this one left out. */
-  listStayingPeers(): Member[] {
+  listNonLeavingPeers(): Member[] {
     return [...this.members.getAll()].filter((member) =>
       member.status !== MemberStatus.Dead && !member.leaving
     );
@@ -309,7 +315,7 @@
 
   /** Returns the daemons of this failure domain of which nothing is known. */
   listUnknownPeers(): ReaderCandidate[] {
-    return this.members.listSilentHosts()
+    return this.members.listMissingHosts()
       .filter((id) => this.members.get(id) === undefined)
       .map((id) => ({ id, platformReach: PlatformReach.NotReading }));
   }
@@ -334,14 +340,14 @@
   }
 
   #findLinkedDomain(failureDomain: string): LinkedDomain | undefined {
-    const isWanted = (domain: LinkedDomain): boolean =>
+    const isMatch = (domain: LinkedDomain): boolean =>
       domain.failureDomain === failureDomain;
-    const own = this.#linkedDomains.find(isWanted);
+    const own = this.#linkedDomains.find(isMatch);
     if (own) return own;
     for (const member of this.members.getAll()) {
       if (member.status === MemberStatus.Dead) continue;
-      const told = member.linkedDomains.find(isWanted);
-      if (told) return told;
+      const advertised = member.linkedDomains.find(isMatch);
+      if (advertised) return advertised;
     }
     return undefined;
   }
@@ -349,11 +355,13 @@
   /** Returns the daemons of this failure domain that may own upstreams. */
   #getCandidates(): { id: string }[] {
     if (this.#candidates?.epoch === this.epoch) return this.#candidates.hosts;
-    const hosts: { id: string }[] = this.listStayingPeers();
+    const hosts: { id: string }[] = this.listNonLeavingPeers();
     const { selfId } = this.#options;
     if (!this.#isSelfLeaving) hosts.push({ id: selfId });
-    const named = hosts.filter((host) => this.#directory.getEntryHost(host.id));
-    this.#candidates = { epoch: this.epoch, hosts: named };
-    return named;
+    const listed = hosts.filter((host) =>
+      this.#directory.getEntryHost(host.id)
+    );
+    this.#candidates = { epoch: this.epoch, hosts: listed };
+    return listed;
   }
 }
--- a/src/core/membership/peer_protocol.ts
+++ b/src/core/membership/peer_protocol.ts
@@ -26,14 +26,14 @@
   type UpstreamDigest,
 } from "../messages.ts";
 import type { Milliseconds, PoolStructure } from "../structures.ts";
-import { ControlPeriods } from "./control_periods.ts";
+import { ControlIntervals } from "./control_periods.ts";
 import { FailureDetector } from "./failure_detector.ts";
 import { LinkManager } from "./link_manager.ts";
 import type { Membership } from "./membership.ts";
-import { Spreader } from "./spreader.ts";
+import { UpdateDisseminator } from "./spreader.ts";
 import { StateExchange } from "./state_exchange.ts";
 import { StatePublisher } from "./state_publisher.ts";
-import { StrikeSpreader } from "./strike_spreader.ts";
+import { StrikeDisseminator } from "./strike_spreader.ts";
 
 /** Time between requests of a daemon that joins, and peers asked each time. */
 const JOIN_RETRY_MS = 300;
@@ -73,18 +73,18 @@
 export class PeerProtocol {
   readonly #options: PeerProtocolOptions;
   readonly #membership: Membership;
-  readonly #periods: ControlPeriods;
+  readonly #intervals: ControlIntervals;
   readonly #detector: FailureDetector;
-  readonly #spreader: Spreader;
+  readonly #disseminator: UpdateDisseminator;
   readonly #publisher: StatePublisher;
   readonly #exchange: StateExchange;
   readonly #links: LinkManager;
-  readonly #strikes: StrikeSpreader;
+  readonly #strikeDisseminator: StrikeDisseminator;
   #number = 1;
   #hasJoined = false;
   #joinRound = 0;
   #lastJoinAt = Number.NEGATIVE_INFINITY;
-  #sizedEpoch = -1;
+  #lastSizesEpoch = -1;
 
   constructor(options: PeerProtocolOptions) {
     const { selfId, incarnation, failureDomain, settings, emit } = options;
@@ -92,18 +92,21 @@
     const { members, views } = membership;
     this.#options = options;
     this.#membership = membership;
-    this.#periods = new ControlPeriods(settings.heartbeatIntervalMs);
-    const periods = this.#periods;
+    this.#intervals = new ControlIntervals(settings.heartbeatIntervalMs);
+    const intervals = this.#intervals;
     const getRing = () => members.getRing();
     const describeSelf = () => this.describeSelf();
-    this.#spreader = new Spreader({
+    this.#disseminator = new UpdateDisseminator({
       selfId,
       emit,
       getRing,
-      getLoadHoldMs: () => periods.getLoadHoldMs(),
+      getLoadBatchingMs: () => intervals.getLoadBatchingMs(),
     });
-    this.#strikes = new StrikeSpreader(options.getStrikes, this.#spreader);
-    this.#publisher = new StatePublisher(selfId, incarnation, periods);
+    this.#strikeDisseminator = new StrikeDisseminator(
+      options.getStrikes,
+      this.#disseminator,
+    );
+    this.#publisher = new StatePublisher(selfId, incarnation, intervals);
     this.#exchange = new StateExchange({
       selfId,
       membership,
@@ -119,19 +122,19 @@
     this.#detector = new FailureDetector({
       selfId,
       peerTimeoutMs: settings.peerTimeoutMs,
-      periods,
+      intervals: intervals,
       members,
       emit,
       describeSelf,
       getRevisions,
-      getStrikes: () => this.#strikes.selectNext(),
-      reportChange: (member, now) => {
+      getStrikes: () => this.#strikeDisseminator.selectNext(),
+      reportStatusChange: (member, now) => {
         if (member.status === MemberStatus.Dead) {
           views.removePublisher(member.id);
           emit({ kind: "count", counter: "members", tag: "dead" });
         } else emit({ kind: "count", counter: "members", tag: "suspect" });
         const { id, incarnation, number, status, leaving } = member;
-        this.#spreader.addMember(
+        this.#disseminator.addMember(
           { id, incarnation, number, status, leaving, version: 0 },
           now,
         );
@@ -142,18 +145,19 @@
       incarnation,
       failureDomain,
       peerTimeoutMs: settings.peerTimeoutMs,
-      periods,
+      intervals: intervals,
       views,
       emit,
       getRing,
       getRevisions,
-      getStrikes: () => this.#strikes.getAll(),
+      getStrikes: () => this.#strikeDisseminator.getAll(),
       publishRemote: ({ digests, domains }, now) => {
         membership.setRemoteViews(digests, now);
         membership.setLinkedDomains(domains);
         this.#publisher.setRemote(digests, domains);
       },
-      getStoreKeeperId: () => membership.getStoreKeeperId(failureDomain),
+      getStoreCoordinatorId: () =>
+        membership.getStoreCoordinatorId(failureDomain),
     }, membership.directory);
   }
 
@@ -163,7 +167,7 @@
   }
 
   /** Returns whether a peer has told what it knows. */
-  hasHeardPeer(): boolean {
+  hasReceivedPeerState(): boolean {
     return this.#hasJoined;
   }
 
@@ -206,30 +210,30 @@
   }
 
   publishTablesDelta(delta: TablesDelta, now: Milliseconds): void {
-    this.#spreader.addTablesDelta(delta, now);
+    this.#disseminator.addTablesDelta(delta, now);
   }
 
   publishHostListDelta(delta: HostListDelta, now: Milliseconds): void {
-    this.#spreader.addHostListDelta(delta, now);
+    this.#disseminator.addHostListDelta(delta, now);
   }
 
   /** Tells the failure domain at once that this daemon is leaving. */
   publishLeaving(now: Milliseconds): void {
-    this.#spreader.addMember(this.describeSelf(), now);
-    this.#spreader.flush();
+    this.#disseminator.addMember(this.describeSelf(), now);
+    this.#disseminator.flush();
   }
 
   /** Tells of new strikes at once, as their caller may send the request again elsewhere. */
   publishStrikes(now: Milliseconds): void {
-    if (!this.#strikes.tick(now)) return;
-    this.#spreader.flush();
+    if (!this.#strikeDisseminator.tick(now)) return;
+    this.#disseminator.flush();
     this.#links.sendUpdates(now);
   }
 
   /** Publishes at once what has changed, before this daemon stops. */
   flush(now: Milliseconds): void {
     this.#publishState(now);
-    this.#spreader.flush();
+    this.#disseminator.flush();
   }
 
   tick(now: Milliseconds): void {
@@ -237,12 +241,12 @@
     if (!this.#hasJoined) this.#tryJoin(now);
     this.#detector.tick(now);
     this.#exchange.tick(now);
-    this.#strikes.tick(now);
+    this.#strikeDisseminator.tick(now);
     this.#publishState(now);
     const load = this.#publisher.takeLoad(now);
-    if (load) this.#spreader.addLoad(load, now);
+    if (load) this.#disseminator.addLoad(load, now);
     this.#links.tick(now);
-    this.#spreader.tick(now);
+    this.#disseminator.tick(now);
   }
 
   /** Forgets everyone after a pause of this process, and begins anew under a higher number. */
@@ -259,8 +263,8 @@
   handleProbe(from: string, probe: ProbeMessage, now: Milliseconds): void {
     if (!this.#membership.members.isHost(from)) return;
     this.#mergeRecords(from, [probe.sender, ...probe.members], now);
-    this.#membership.members.recordHeard(from, now);
-    this.#strikes.receive(probe.strikes);
+    this.#membership.members.recordContact(from, now);
+    this.#strikeDisseminator.recordReceived(probe.strikes);
     this.#options.mergeStrikes(probe.strikes, now);
     this.#membership.members.recordTablesRevision(from, probe.tablesRevision);
     this.#detector.handleProbe(from, probe);
@@ -270,8 +274,8 @@
   handleProbeAck(from: string, ack: ProbeAckMessage, now: Milliseconds): void {
     if (!this.#membership.members.isHost(from)) return;
     this.#mergeRecords(from, [ack.sender, ...ack.members], now);
-    this.#membership.members.recordHeard(from, now);
-    this.#membership.members.recordHeard(ack.sender.id, now);
+    this.#membership.members.recordContact(from, now);
+    this.#membership.members.recordContact(ack.sender.id, now);
     this.#membership.members.recordTablesRevision(
       ack.sender.id,
       ack.tablesRevision,
@@ -286,20 +290,20 @@
     now: Milliseconds,
   ): void {
     if (!this.#membership.members.isHost(from)) return;
-    this.#membership.members.recordHeard(from, now);
+    this.#membership.members.recordContact(from, now);
     this.#detector.handleProbeRequest(from, request, now);
   }
 
   handleSpread(from: string, message: SpreadMessage, now: Milliseconds): void {
     if (!this.#membership.members.isHost(from)) return;
-    this.#membership.members.recordHeard(from, now);
-    this.#spreader.forward(message, now);
+    this.#membership.members.recordContact(from, now);
+    this.#disseminator.forward(message, now);
     this.#mergeRecords(from, message.members, now);
     for (const state of message.states) {
       this.#exchange.applyState(from, state, now);
     }
     for (const load of message.loads) this.#exchange.applyLoad(load, now);
-    this.#strikes.receive(message.strikes);
+    this.#strikeDisseminator.recordReceived(message.strikes);
     this.#options.mergeStrikes(message.strikes, now);
     this.#options.handleDeltas(
       from,
@@ -315,9 +319,9 @@
     now: Milliseconds,
   ): void {
     if (!this.#membership.members.isHost(from)) return;
-    this.#membership.members.recordHeard(from, now);
+    this.#membership.members.recordContact(from, now);
     this.#exchange.handleRequest(from, request, {
-      strikes: this.#strikes.getAll(),
+      strikes: this.#strikeDisseminator.getAll(),
       revisions: this.#options.getRevisions(),
     });
   }
@@ -329,16 +333,16 @@
   ): void {
     if (!this.#membership.members.isHost(from)) return;
     this.#mergeRecords(from, transfer.members, now);
-    this.#membership.members.recordHeard(from, now);
+    this.#membership.members.recordContact(from, now);
     for (const state of transfer.states) {
       this.#exchange.applyState(from, state, now);
     }
-    this.#strikes.receive(transfer.strikes);
+    this.#strikeDisseminator.recordReceived(transfer.strikes);
     this.#options.mergeStrikes(transfer.strikes, now);
     this.#options.handleRevisions(from, transfer, now);
     if (!transfer.joined || this.#hasJoined) return;
     this.#hasJoined = true;
-    this.#spreader.addMember(this.describeSelf(), now);
+    this.#disseminator.addMember(this.describeSelf(), now);
   }
 
   handleLinkUpdate(
@@ -346,11 +350,11 @@
     update: LinkUpdateMessage,
     now: Milliseconds,
   ): void {
-    if (!this.#links.isGenuine(from, update)) return;
+    if (!this.#links.isFromNamedDomain(from, update)) return;
     this.#links.handleUpdate(from, update, now);
     this.#options.mergeStrikes(update.strikes, now);
     this.#options.mergeEvictions(update.evictions, now);
-    this.#publisher.addToldEvictions(update.evictions);
+    this.#publisher.addRemoteEvictions(update.evictions);
     this.#options.handleRevisions(from, update, now);
   }
 
@@ -361,7 +365,7 @@
 
   #publishState(now: Milliseconds): void {
     const update = this.#publisher.takeUpdate(now);
-    if (update) this.#spreader.addState(update, now);
+    if (update) this.#disseminator.addState(update, now);
   }
 
   /** Takes records of others; a record of this daemon that is not true is refuted. */
@@ -377,14 +381,14 @@
   }
 
   #checkOwnRecord(record: MemberRecord, now: Milliseconds): void {
-    const isUntrue = record.incarnation !== this.#options.incarnation ||
+    const isIncorrect = record.incarnation !== this.#options.incarnation ||
       record.status !== MemberStatus.Alive;
     const isOlder = record.number < this.#number ||
-      (record.number === this.#number && !isUntrue);
+      (record.number === this.#number && !isIncorrect);
     if (isOlder) return;
     this.#number = record.number + 1;
     this.#options.emit({ kind: "count", counter: "members", tag: "refuted" });
-    this.#spreader.addMember(this.describeSelf(), now);
+    this.#disseminator.addMember(this.describeSelf(), now);
   }
 
   /** Asks a few peers for all they know, others each time, until one has answered. */
@@ -410,9 +414,9 @@
 
   #updateSizes(): void {
     const { epoch, members } = this.#membership;
-    if (epoch === this.#sizedEpoch) return;
-    this.#sizedEpoch = epoch;
-    this.#periods.setSizes(
+    if (epoch === this.#lastSizesEpoch) return;
+    this.#lastSizesEpoch = epoch;
+    this.#intervals.setSizes(
       members.getRing().length,
       this.#membership.getDomainUpstreams().length,
     );
--- a/src/core/membership/platform_readers.ts
+++ b/src/core/membership/platform_readers.ts
@@ -11,14 +11,14 @@
 /** Daemons of a failure domain that read the platform. */
 const READERS_PER_DOMAIN = 2;
 /** Time without a reader after which a daemon reads for itself, at the least. */
-const READER_SILENCE_MS = 3_000;
+const READER_TIMEOUT_MS = 3_000;
 /** Calls that one reading of the tables takes, and calls a second that all such readings may add up to. */
-const CALLS_PER_READING = 32;
-const CALLS_PER_SECOND = 1_000;
+const CALLS_PER_READ = 32;
+const MAX_CALLS_PER_SECOND = 1_000;
 /** Daemons that have to fail before the platform itself is taken for down. */
 const MAX_FAILED_READERS = 6;
 /** Time for which a reader that could not read the platform leaves that to others. */
-const FAILED_READER_REST_MS = 10_000;
+const FAILED_READER_BACKOFF_MS = 10_000;
 
 /** A live daemon of the failure domain, as the choice of readers sees it. */
 export interface ReaderCandidate {
@@ -26,34 +26,34 @@
   platformReach: PlatformReach;
 }
 
-export interface ReaderCircumstances {
+export interface ReaderElectionInput {
   /** Other daemons of the failure domain that may read: live and not leaving, or not heard of yet. */
   peers: readonly ReaderCandidate[];
   /** Daemons in the host list, all failure domains together. */
-  daemons: number;
+  daemonCount: number;
   /** Whether peers may yet answer a daemon that has just started or woken. */
   isAwaitingPeers: boolean;
   isLeaving: boolean;
 }
 
-export class PlatformReaders {
+export class PlatformReaderElection {
   readonly #selfId: string;
   #isReading = false;
   #reach: PlatformReach = PlatformReach.NotReading;
   #failedAt = Number.NEGATIVE_INFINITY;
-  #vouchedAt: Milliseconds;
+  #readerConfirmedAt: Milliseconds;
 
   constructor(selfId: string, now: Milliseconds) {
     this.#selfId = selfId;
-    this.#vouchedAt = now;
+    this.#readerConfirmedAt = now;
   }
 
   /** Records how a reading of the platform ended. */
-  recordReading(isReached: boolean, now: Milliseconds): void {
+  recordReadResult(isReached: boolean, now: Milliseconds): void {
     if (isReached) this.#failedAt = Number.NEGATIVE_INFINITY;
     else this.#failedAt = now;
     if (!this.#isReading) return;
-    if (!isReached) this.#vouchedAt = now;
+    if (!isReached) this.#readerConfirmedAt = now;
     this.#reach = isReached ? PlatformReach.Reached : PlatformReach.Unreached;
   }
 
@@ -63,10 +63,10 @@
   }
 
   /** Returns whether this daemon is to read the platform now. */
-  update(circumstances: ReaderCircumstances, now: Milliseconds): boolean {
-    const isReading = this.#isReader(circumstances, now);
+  update(input: ReaderElectionInput, now: Milliseconds): boolean {
+    const isReading = this.#isReader(input, now);
     if (!isReading) this.#reach = PlatformReach.NotReading;
-    if (!isReading && now - this.#failedAt < FAILED_READER_REST_MS) {
+    if (!isReading && now - this.#failedAt < FAILED_READER_BACKOFF_MS) {
       this.#reach = PlatformReach.Unreached;
     }
     this.#isReading = isReading;
@@ -75,23 +75,24 @@
 
   /** Takes it that nothing was heard of readers, after a pause of this process. */
   clear(now: Milliseconds): void {
-    this.#vouchedAt = now;
+    this.#readerConfirmedAt = now;
   }
 
-  #isReader(circumstances: ReaderCircumstances, now: Milliseconds): boolean {
-    const { peers, isAwaitingPeers, isLeaving } = circumstances;
+  #isReader(input: ReaderElectionInput, now: Milliseconds): boolean {
+    const { peers, isAwaitingPeers, isLeaving } = input;
     if (isAwaitingPeers) {
-      this.#vouchedAt = now;
+      this.#readerConfirmedAt = now;
       return false;
     }
-    const isVouched = peers.some((peer) =>
+    const isReaderConfirmed = peers.some((peer) =>
       peer.platformReach === PlatformReach.Reached
     );
-    if (isVouched) this.#vouchedAt = now;
+    if (isReaderConfirmed) this.#readerConfirmedAt = now;
     if (isLeaving) return false;
     if (this.#isChosen(peers, now)) return true;
-    if (isVouched) return false;
-    return now - this.#vouchedAt >= this.#getPatienceMs(circumstances.daemons);
+    if (isReaderConfirmed) return false;
+    return now - this.#readerConfirmedAt >=
+      this.#computeFallbackDelayMs(input.daemonCount);
   }
 
   /**
@@ -99,7 +100,7 @@
    * read; when many have failed, among the first of all, which go on trying.
    */
   #isChosen(peers: readonly ReaderCandidate[], now: Milliseconds): boolean {
-    const hasFailed = now - this.#failedAt < FAILED_READER_REST_MS;
+    const hasFailed = now - this.#failedAt < FAILED_READER_BACKOFF_MS;
     const self = {
       id: this.#selfId,
       platformReach: hasFailed
@@ -107,16 +108,19 @@
         : PlatformReach.NotReading,
     };
     const ranked = rankByRendezvous("platform", [self, ...peers]);
-    const able = ranked.slice(0, MAX_FAILED_READERS).filter((candidate) =>
+    const eligible = ranked.slice(0, MAX_FAILED_READERS).filter((candidate) =>
       candidate.platformReach !== PlatformReach.Unreached
     );
-    return (able.length > 0 ? able : ranked).slice(0, READERS_PER_DOMAIN)
+    return (eligible.length > 0 ? eligible : ranked).slice(
+      0,
+      READERS_PER_DOMAIN,
+    )
       .some((candidate) => candidate.id === this.#selfId);
   }
 
   /** Returns how long this daemon waits for a reader; others wait for other times. */
-  #getPatienceMs(daemons: number): Milliseconds {
-    const spreadMs = daemons * CALLS_PER_READING * 1_000 / CALLS_PER_SECOND;
-    return READER_SILENCE_MS + spreadMs * hashText(this.#selfId) / 2 ** 32;
+  #computeFallbackDelayMs(daemons: number): Milliseconds {
+    const jitterMs = daemons * CALLS_PER_READ * 1_000 / MAX_CALLS_PER_SECOND;
+    return READER_TIMEOUT_MS + jitterMs * hashText(this.#selfId) / 2 ** 32;
   }
 }
--- a/src/core/membership/spread_ring.ts
+++ b/src/core/membership/spread_ring.ts
@@ -5,10 +5,10 @@
  */
 
 /** Daemons that one daemon feeds directly. */
-export const SPREAD_FAN_OUT = 9;
+export const DISSEMINATION_FAN_OUT = 9;
 
 /** A daemon to send to, and how many that follow it in the ring it has to feed. */
-export interface SpreadTarget {
+export interface DisseminationTarget {
   id: string;
   span: number;
 }
@@ -17,16 +17,16 @@
  * @param ring Ids of the live daemons in order.
  * @param span Daemons after `selfId` that are to be fed.
  */
-export function listSpreadTargets(
+export function listDisseminationTargets(
   ring: readonly string[],
   selfId: string,
   span: number,
-  fanOut: number = SPREAD_FAN_OUT,
-): SpreadTarget[] {
+  fanOut: number = DISSEMINATION_FAN_OUT,
+): DisseminationTarget[] {
   const start = ring.indexOf(selfId);
   const total = Math.min(span, ring.length - 1);
   const parts = Math.min(fanOut, total);
-  const targets: SpreadTarget[] = [];
+  const targets: DisseminationTarget[] = [];
   let offset = 1;
   for (let part = 0; part < parts; part += 1) {
     const size = Math.floor(total / parts) + (part < total % parts ? 1 : 0);
--- a/src/core/membership/spreader.ts
+++ b/src/core/membership/spreader.ts
@@ -10,10 +10,10 @@
   TablesDelta,
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { listSpreadTargets } from "./spread_ring.ts";
+import { listDisseminationTargets } from "./spread_ring.ts";
 
 /** Time for which urgent updates wait for others. */
-const URGENT_HOLD_MS = 15;
+const URGENT_BATCHING_MS = 15;
 /** Span of updates that begin here: the whole ring. */
 const WHOLE_RING = Number.MAX_SAFE_INTEGER;
 
@@ -24,18 +24,18 @@
   isUrgent: boolean;
 }
 
-export interface SpreaderOptions {
+export interface UpdateDisseminatorOptions {
   selfId: string;
   emit: (effect: Effect) => void;
   getRing: () => readonly string[];
-  getLoadHoldMs: () => Milliseconds;
+  getLoadBatchingMs: () => Milliseconds;
 }
 
-export class Spreader {
-  readonly #options: SpreaderOptions;
+export class UpdateDisseminator {
+  readonly #options: UpdateDisseminatorOptions;
   readonly #batches = new Map<number, Batch>();
 
-  constructor(options: SpreaderOptions) {
+  constructor(options: UpdateDisseminatorOptions) {
     this.#options = options;
   }
 
@@ -82,10 +82,10 @@
   /** Sends what has waited long enough. */
   tick(now: Milliseconds): void {
     for (const [span, batch] of this.#batches) {
-      const holdMs = batch.isUrgent
-        ? URGENT_HOLD_MS
-        : this.#options.getLoadHoldMs();
-      if (now - batch.since >= holdMs) this.#send(span, batch);
+      const batchingMs = batch.isUrgent
+        ? URGENT_BATCHING_MS
+        : this.#options.getLoadBatchingMs();
+      if (now - batch.since >= batchingMs) this.#send(span, batch);
     }
   }
 
@@ -97,7 +97,7 @@
   #send(span: number, batch: Batch): void {
     this.#batches.delete(span);
     const { selfId, emit, getRing } = this.#options;
-    for (const target of listSpreadTargets(getRing(), selfId, span)) {
+    for (const target of listDisseminationTargets(getRing(), selfId, span)) {
       emit({
         kind: "send",
         to: target.id,
--- a/src/core/membership/state_exchange.ts
+++ b/src/core/membership/state_exchange.ts
@@ -17,7 +17,7 @@
 import type { StatePublisher } from "./state_publisher.ts";
 
 /** Time for which an update may still be on its way before it is fetched, and between fetches. */
-const SETTLE_MS = 100;
+const FETCH_DELAY_MS = 100;
 const FETCH_RETRY_MS = 500;
 /** Size of the states of one message, about; further ones go in another. */
 const TRANSFER_BYTES = 262_144;
@@ -52,34 +52,34 @@
     const isKnown = member !== undefined &&
       member.status !== MemberStatus.Dead &&
       member.incarnation === update.incarnation;
-    if (!isKnown || update.version < member.heldVersion) return;
+    if (!isKnown || update.version < member.appliedVersion) return;
     const isFull = update.fromVersion === 0;
-    if (update.version === member.heldVersion && !isFull) return;
-    if (!isFull && update.fromVersion !== member.heldVersion) {
+    if (update.version === member.appliedVersion && !isFull) return;
+    if (!isFull && update.fromVersion !== member.appliedVersion) {
       member.version = Math.max(member.version, update.version);
-      member.behind ??= { since: now, source: from };
+      member.pendingSync ??= { since: now, source: from };
       return;
     }
     membership.views.applyState(update, now);
     member.platformReach = update.platformReach;
     member.linkedDomains = update.linkedDomains;
     this.#options.handleEvictions(update, now);
-    member.heldVersion = update.version;
+    member.appliedVersion = update.version;
     member.version = Math.max(member.version, update.version);
-    if (member.heldVersion >= member.version) member.behind = undefined;
+    if (member.appliedVersion >= member.version) member.pendingSync = undefined;
   }
 
   /** Applies load that belongs to the version held. */
   applyLoad(update: LoadUpdate, now: Milliseconds): void {
     const { membership } = this.#options;
     const member = membership.members.get(update.publisherId);
-    const isFitting = member !== undefined &&
+    const isApplicable = member !== undefined &&
       member.status !== MemberStatus.Dead &&
       member.incarnation === update.incarnation &&
-      member.heldVersion === update.version &&
-      update.sequence > member.heldLoadSequence;
-    if (!isFitting) return;
-    member.heldLoadSequence = update.sequence;
+      member.appliedVersion === update.version &&
+      update.sequence > member.appliedLoadSequence;
+    if (!isApplicable) return;
+    member.appliedLoadSequence = update.sequence;
     membership.views.applyLoad(update, now);
   }
 
@@ -87,10 +87,10 @@
   tick(now: Milliseconds): void {
     const wanted = new Map<string, string[]>();
     for (const member of this.#options.membership.members.getAll()) {
-      const { behind } = member;
-      if (!behind || now - behind.since < SETTLE_MS) continue;
-      if (member.heldVersion >= member.version) {
-        member.behind = undefined;
+      const { pendingSync: behind } = member;
+      if (!behind || now - behind.since < FETCH_DELAY_MS) continue;
+      if (member.appliedVersion >= member.version) {
+        member.pendingSync = undefined;
         continue;
       }
       behind.since = now + FETCH_RETRY_MS;
@@ -116,7 +116,7 @@
   ): void {
     const isJoin = request.memberIds.length === 0;
     const members = this.#listMembers(request);
-    let part = this.#createTransfer(content.revisions);
+    let transfer = this.#createTransfer(content.revisions);
     let bytes = 0;
     for (const { record, state } of members) {
       const size = state.digests.reduce(
@@ -124,17 +124,17 @@
         0,
       );
       if (bytes > 0 && bytes + size > TRANSFER_BYTES) {
-        this.#options.emit({ kind: "send", to: from, message: part });
-        part = this.#createTransfer(content.revisions);
+        this.#options.emit({ kind: "send", to: from, message: transfer });
+        transfer = this.#createTransfer(content.revisions);
         bytes = 0;
       }
-      part.members.push(record);
-      if (record.status !== MemberStatus.Dead) part.states.push(state);
+      transfer.members.push(record);
+      if (record.status !== MemberStatus.Dead) transfer.states.push(state);
       bytes += size;
     }
-    if (isJoin) part.strikes = content.strikes;
-    part.joined = isJoin;
-    this.#options.emit({ kind: "send", to: from, message: part });
+    if (isJoin) transfer.strikes = content.strikes;
+    transfer.joined = isJoin;
+    this.#options.emit({ kind: "send", to: from, message: transfer });
   }
 
   #listMembers(
@@ -159,7 +159,7 @@
       publisherId: member.id,
       incarnation: member.incarnation,
       fromVersion: 0,
-      version: member.heldVersion,
+      version: member.appliedVersion,
       digests: this.#options.membership.views.listPublished(member.id),
       removedUpstreamIds: [],
       platformReach: member.platformReach,
--- a/src/core/membership/state_publisher.ts
+++ b/src/core/membership/state_publisher.ts
@@ -13,8 +13,8 @@
   type UpstreamDigest,
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { ByteBudget } from "./byte_budget.ts";
-import type { ControlPeriods } from "./control_periods.ts";
+import { ByteTokenBucket } from "./byte_budget.ts";
+import type { ControlIntervals } from "./control_periods.ts";
 import {
   estimateDigestBytes,
   hasLoadChanged,
@@ -30,8 +30,8 @@
 export class StatePublisher {
   readonly #selfId: string;
   readonly #incarnation: string;
-  readonly #periods: ControlPeriods;
-  readonly #budget = new ByteBudget(STATE_BURST_BYTES);
+  readonly #intervals: ControlIntervals;
+  readonly #budget = new ByteTokenBucket(STATE_BURST_BYTES);
   readonly #published = new Map<string, PublishedDigest>();
   readonly #own = new Map<string, UpstreamDigest>();
   #remote: ReadonlyMap<string, PublishedDigest> = new Map();
@@ -40,16 +40,20 @@
   #linkedDomains: readonly LinkedDomain[] = [];
   #publishedDomains: readonly LinkedDomain[] = [];
   #evictions: EvictionDigest[] = [];
-  #toldEvictions: EvictionDigest[] = [];
+  #remoteEvictions: EvictionDigest[] = [];
   #version = 0;
   #loadSequence = 0;
   #lastLoadAt = Number.NEGATIVE_INFINITY;
   #isDirty = false;
 
-  constructor(selfId: string, incarnation: string, periods: ControlPeriods) {
+  constructor(
+    selfId: string,
+    incarnation: string,
+    intervals: ControlIntervals,
+  ) {
     this.#selfId = selfId;
     this.#incarnation = incarnation;
-    this.#periods = periods;
+    this.#intervals = intervals;
   }
 
   get version(): number {
@@ -91,9 +95,9 @@
   }
 
   /** Adds evictions that another failure domain told of. */
-  addToldEvictions(evictions: readonly EvictionDigest[]): void {
+  addRemoteEvictions(evictions: readonly EvictionDigest[]): void {
     this.#isDirty ||= evictions.length > 0;
-    this.#toldEvictions = [...this.#toldEvictions, ...evictions]
+    this.#remoteEvictions = [...this.#remoteEvictions, ...evictions]
       .slice(-MAX_EVICTIONS);
   }
 
@@ -105,19 +109,19 @@
   /** Returns the changes to publish now, within the budget; undefined when there are none. */
   takeUpdate(now: Milliseconds): StateUpdate | undefined {
     if (!this.#isDirty) return undefined;
-    const bytesPerSecond = this.#periods.getStateBytesPerSecond();
+    const bytesPerSecond = this.#intervals.getStateBytesPerSecond();
     if (!this.#budget.hasBytes(bytesPerSecond, now)) return undefined;
     this.#isDirty = false;
-    const wanted = this.#listWanted();
-    const digests = [...wanted.values()].filter((entry) =>
+    const current = this.#listCurrent();
+    const digests = [...current.values()].filter((entry) =>
       this.#isChanged(entry)
     );
     const removedUpstreamIds = [...this.#published.keys()].filter((id) =>
-      !wanted.has(id)
+      !current.has(id)
     );
     const isUnchanged = digests.length === 0 &&
       removedUpstreamIds.length === 0 &&
-      this.#evictions.length === 0 && this.#toldEvictions.length === 0 &&
+      this.#evictions.length === 0 && this.#remoteEvictions.length === 0 &&
       this.#reach === this.#publishedReach &&
       this.#linkedDomains === this.#publishedDomains;
     if (isUnchanged) return undefined;
@@ -135,16 +139,18 @@
     const update = {
       ...this.#describe(this.#version - 1, digests, removedUpstreamIds),
       evictions: this.#evictions,
-      toldEvictions: this.#toldEvictions,
+      toldEvictions: this.#remoteEvictions,
     };
     this.#evictions = [];
-    this.#toldEvictions = [];
+    this.#remoteEvictions = [];
     return update;
   }
 
   /** Returns the load of the owned upstreams when it is due and has changed. */
   takeLoad(now: Milliseconds): LoadUpdate | undefined {
-    if (now - this.#lastLoadAt < this.#periods.getLoadMs()) return undefined;
+    if (now - this.#lastLoadAt < this.#intervals.getLoadIntervalMs()) {
+      return undefined;
+    }
     const ids = listOwnUpstreamIds(this.#selfId, this.#published.values());
     let hasChanged = false;
     for (const id of ids) {
@@ -178,7 +184,7 @@
     return this.#describe(0, [...this.#published.values()], []);
   }
 
-  #listWanted(): Map<string, PublishedDigest> {
+  #listCurrent(): Map<string, PublishedDigest> {
     const wanted = new Map(this.#remote);
     for (const [id, digest] of this.#own) {
       wanted.set(id, { ownerId: this.#selfId, digest });
--- a/src/core/membership/strike_spreader.ts
+++ b/src/core/membership/strike_spreader.ts
@@ -1,46 +1,46 @@
 /** Passes on the strikes of requests that crash upstreams: new ones at once, the others in turn with probes. */
 import type { StrikeDigest } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { Spreader } from "./spreader.ts";
+import type { UpdateDisseminator } from "./spreader.ts";
 
 /** Strikes that one probe carries. */
 const MAX_PROBE_STRIKES = 4;
 
-export class StrikeSpreader {
+export class StrikeDisseminator {
   readonly #getStrikes: (now: Milliseconds) => StrikeDigest[];
-  readonly #spreader: Spreader;
+  readonly #disseminator: UpdateDisseminator;
   /** Counts that the failure domain has been told, by fingerprint. */
-  #told = new Map<string, number>();
+  #disseminated = new Map<string, number>();
   #current: StrikeDigest[] = [];
   #nextIndex = 0;
 
   constructor(
     getStrikes: (now: Milliseconds) => StrikeDigest[],
-    spreader: Spreader,
+    disseminator: UpdateDisseminator,
   ) {
     this.#getStrikes = getStrikes;
-    this.#spreader = spreader;
+    this.#disseminator = disseminator;
   }
 
   /** Looks for new strikes; returns whether there are any to pass on. */
   tick(now: Milliseconds): boolean {
     this.#current = this.#getStrikes(now);
-    const fresh = this.#current.filter((digest) =>
-      (this.#told.get(digest.fingerprint) ?? -1) < digest.strikes
+    const newStrikes = this.#current.filter((digest) =>
+      (this.#disseminated.get(digest.fingerprint) ?? -1) < digest.strikes
     );
-    this.#spreader.addStrikes(fresh, now);
-    this.#told = new Map(
+    this.#disseminator.addStrikes(newStrikes, now);
+    this.#disseminated = new Map(
       this.#current.map((digest) => [digest.fingerprint, digest.strikes]),
     );
-    return fresh.length > 0;
+    return newStrikes.length > 0;
   }
 
   /** Notes that the failure domain has been told already. */
-  receive(strikes: readonly StrikeDigest[]): void {
+  recordReceived(strikes: readonly StrikeDigest[]): void {
     for (const { fingerprint, strikes: count } of strikes) {
-      this.#told.set(
+      this.#disseminated.set(
         fingerprint,
-        Math.max(count, this.#told.get(fingerprint) ?? 0),
+        Math.max(count, this.#disseminated.get(fingerprint) ?? 0),
       );
     }
   }
--- a/src/core/membership/view_store.ts
+++ b/src/core/membership/view_store.ts
@@ -15,7 +15,7 @@
 /** What an owner last published of an upstream, with its age. */
 export interface UpstreamView {
   ownerId: string;
-  heardAt: Milliseconds;
+  receivedAt: Milliseconds;
   digest: UpstreamDigest;
 }
 
@@ -52,12 +52,12 @@
   }
 
   /** Returns whether another daemon publishes that it owns the upstream. */
-  hasRival(selfId: string, upstreamId: string): boolean {
+  hasOtherOwner(selfId: string, upstreamId: string): boolean {
     for (const publisherId of this.#publisherIds.get(upstreamId) ?? []) {
       const view = this.getPublished(publisherId, upstreamId);
-      const isRival = publisherId !== selfId && view?.digest.up === true &&
+      const isOtherOwner = publisherId !== selfId && view?.digest.up === true &&
         view.ownerId === publisherId;
-      if (isRival) return true;
+      if (isOtherOwner) return true;
     }
     return false;
   }
@@ -74,7 +74,10 @@
     now: Milliseconds,
   ): void {
     const { upstreamId } = published.digest;
-    this.#getOrAdd(publisherId).set(upstreamId, { ...published, heardAt: now });
+    this.#getOrAdd(publisherId).set(upstreamId, {
+      ...published,
+      receivedAt: now,
+    });
     const publisherIds = this.#publisherIds.get(upstreamId);
     if (publisherIds) publisherIds.add(publisherId);
     else this.#publisherIds.set(upstreamId, new Set([publisherId]));
@@ -182,7 +185,7 @@
       if (!view) continue;
       const isOwn = view.ownerId === publisherId;
       const isBetter = chosen === undefined || (isOwn && !isChosenOwn) ||
-        (isOwn === isChosenOwn && view.heardAt >= chosen.heardAt);
+        (isOwn === isChosenOwn && view.receivedAt >= chosen.receivedAt);
       if (!isBetter) continue;
       chosen = view;
       isChosenOwn = isOwn;
--- a/src/core/residency/owned_upstreams.ts
+++ b/src/core/residency/owned_upstreams.ts
@@ -115,7 +115,10 @@
   tick(now: Milliseconds): void {
     const { selfId, membership } = this.#options;
     for (const owner of this.#owners.values()) {
-      const hasOtherOwner = membership.views.hasRival(selfId, owner.upstreamId);
+      const hasOtherOwner = membership.views.hasOtherOwner(
+        selfId,
+        owner.upstreamId,
+      );
       if (hasOtherOwner) owner.recordOtherOwner(now);
       owner.tick(now);
       this.#options.publishUpstream(owner.buildDigest(now), now);
@@ -232,7 +235,7 @@
         0,
       emit,
       findRedirectTarget: (adapterKey) =>
-        membership.findHolder(adapterKey, host),
+        membership.findRedirectTarget(adapterKey, host),
       creditShares: this.#creditShares,
       loadShares: this.#loadShares,
       createId: (prefix) => this.#ids.createId(prefix),
--- a/src/core/residency/store_permit_client.ts
+++ b/src/core/residency/store_permit_client.ts
@@ -7,7 +7,7 @@
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
 import { IdSource } from "../id_source.ts";
-import { DEATH_AFTER_RATIO } from "../membership/failure_detector.ts";
+import { DEAD_TIMEOUT_RATIO } from "../membership/failure_detector.ts";
 import type { Membership } from "../membership/membership.ts";
 import type {
   StoreDemandMessage,
@@ -70,7 +70,7 @@
   /** Starts or stops the coordinator on this daemon as membership changes. */
   tick(now: Milliseconds): void {
     const { membership, selfId, failureDomain, emit } = this.#options;
-    const coordinatorId = membership.getStoreKeeperId(failureDomain);
+    const coordinatorId = membership.getStoreCoordinatorId(failureDomain);
     if (coordinatorId !== selfId) {
       this.#coordinator = undefined;
       this.#previousCoordinatorId = coordinatorId;
@@ -90,13 +90,13 @@
       now,
     );
     this.#coordinator.setShare(share);
-    this.#coordinator.tick(membership.listOtherStoreKeeperIds(), now);
+    this.#coordinator.tick(membership.listOtherStoreCoordinatorIds(), now);
   }
 
   /** Sends the demand of this daemon to the coordinator, if it has changed. */
   updateDemand(demand: StoreDemand, now: Milliseconds): void {
     const { membership, failureDomain, emit } = this.#options;
-    const to = membership.getStoreKeeperId(failureDomain);
+    const to = membership.getStoreCoordinatorId(failureDomain);
     if (to === undefined || !this.#needsSending(demand, to, now)) return;
     this.#sent = { ...demand, to, at: now };
     emit({
@@ -228,7 +228,7 @@
       membership.isPeerLive(this.#previousCoordinatorId);
     const silentMs = isPreviousAlive
       ? 0
-      : settings.peerTimeoutMs * DEATH_AFTER_RATIO;
+      : settings.peerTimeoutMs * DEAD_TIMEOUT_RATIO;
     return Math.max(0, this.#getPermitLifetimeMs() - silentMs);
   }
 }
--- a/test/core/membership/membership_fleet_test.ts
+++ b/test/core/membership/membership_fleet_test.ts
@@ -13,17 +13,17 @@
 } from "../../../bench/control/fleet_tables.ts";
 import { SplitMix } from "./split_mix.ts";
 
-const TODAY = {
+const FOUR_DOMAINS = {
   domains: 4,
   daemonsPerDomain: 2,
   upstreamsPerDomain: 4,
   pools: 2,
   routes: 10,
 };
-const ONE_DOMAIN = { ...TODAY, domains: 1, daemonsPerDomain: 9 };
+const ONE_DOMAIN = { ...FOUR_DOMAINS, domains: 1, daemonsPerDomain: 9 };
 
 function startFleet(
-  sizes: typeof TODAY,
+  sizes: typeof FOUR_DOMAINS,
   options: Omit<ControlFleetOptions, "hosts"> = {},
 ): ControlFleet {
   const fleet = new ControlFleet({ hosts: createHosts(sizes), ...options });
@@ -52,7 +52,7 @@
   return owners;
 }
 
-function isSeenResident(
+function isResidentInView(
   fleet: ControlFleet,
   observerId: string,
   upstreamId: string,
@@ -64,7 +64,10 @@
     );
 }
 
-function isEveryoneAt(fleet: ControlFleet, revision: number): boolean {
+function hasEveryDaemonRevision(
+  fleet: ControlFleet,
+  revision: number,
+): boolean {
   return fleet.listNodes().every((node) =>
     !node.isAlive || node.isPaused ||
     node.core.getSnapshot()?.revision === revision
@@ -72,7 +75,7 @@
 }
 
 test("every daemon serves and every upstream has one owner", () => {
-  const fleet = startFleet(TODAY);
+  const fleet = startFleet(FOUR_DOMAINS);
   for (const node of fleet.listNodes()) assert.is(node.core.state, "serving");
   const owners = countOwners(fleet);
   assert.is(owners.size, 16);
@@ -80,7 +83,7 @@
 });
 
 test("a dead daemon is found within two seconds and its upstreams pass on", () => {
-  for (const sizes of [TODAY, ONE_DOMAIN]) {
+  for (const sizes of [FOUR_DOMAINS, ONE_DOMAIN]) {
     for (let offset = 0; offset < 5; offset += 1) {
       const fleet = startFleet(sizes);
       fleet.run(offset * 60);
@@ -141,7 +144,7 @@
 });
 
 test("a change of residency is seen everywhere within 300 ms of its reading", () => {
-  const fleet = startFleet(TODAY);
+  const fleet = startFleet(FOUR_DOMAINS);
   const state = fleet.upstreams.get("upstream-0-0");
   fleet.upstreams.set("upstream-0-0", {
     ...state!,
@@ -153,13 +156,13 @@
     )
   );
   fleet.runUntil(
-    () => isSeenResident(fleet, owner!.host.id, "upstream-0-0"),
+    () => isResidentInView(fleet, owner!.host.id, "upstream-0-0"),
     2_000,
   );
   const seenMs = fleet.runUntil(
     () =>
       fleet.listNodes().every((node) =>
-        isSeenResident(fleet, node.host.id, "upstream-0-0")
+        isResidentInView(fleet, node.host.id, "upstream-0-0")
       ),
     2_000,
   );
@@ -179,7 +182,7 @@
 });
 
 test("a failure domain that is cut off serves, and is one again afterwards", () => {
-  const fleet = startFleet(TODAY);
+  const fleet = startFleet(FOUR_DOMAINS);
   const isOutside = (id: string): boolean => !id.startsWith("entry-0-");
   fleet.transit = (from, to) => isOutside(from) === isOutside(to) ? [1] : [];
   fleet.run(4_000);
@@ -194,7 +197,7 @@
   const all = inside.explainRoute("route-0", fleet.now)
     .map((ranked) => ranked.candidate.host.failureDomain);
   assert.is(new Set(all).size, 4);
-  assert.ok(isEveryoneAt(fleet, 3));
+  assert.ok(hasEveryDaemonRevision(fleet, 3));
 });
 
 test("both halves of a split failure domain become one again", () => {
@@ -220,7 +223,7 @@
 test("messages lost, late, twice and crossed are made up for", () => {
   for (let seed = 1; seed <= 5; seed += 1) {
     const random = new SplitMix(seed);
-    const fleet = startFleet(TODAY);
+    const fleet = startFleet(FOUR_DOMAINS);
     fleet.transit = () => {
       const draw = random.next();
       if (draw < 0.1) return [];
@@ -238,7 +241,10 @@
     }
     fleet.transit = () => [1];
     const revision = fleet.tables!.revision;
-    const doneMs = fleet.runUntil(() => isEveryoneAt(fleet, revision), 10_000);
+    const doneMs = fleet.runUntil(
+      () => hasEveryDaemonRevision(fleet, revision),
+      10_000,
+    );
     assert.ok(doneMs < 10_000, `seed ${seed}: revisions differ`);
     fleet.run(5_000);
     const digests = new Set(
@@ -263,20 +269,20 @@
 });
 
 test("a change of configuration is in force everywhere within a second", () => {
-  const fleet = startFleet(TODAY);
+  const fleet = startFleet(FOUR_DOMAINS);
   fleet.tables = editTables(fleet.tables!, 3);
-  const doneMs = fleet.runUntil(() => isEveryoneAt(fleet, 3), 5_000);
+  const doneMs = fleet.runUntil(() => hasEveryDaemonRevision(fleet, 3), 5_000);
   assert.ok(doneMs <= 1_000, `in force after ${doneMs} ms`);
 });
 
 test("a daemon that starts takes the tables of its peers, not of a stale platform", () => {
-  const fleet = startFleet(TODAY);
+  const fleet = startFleet(FOUR_DOMAINS);
   for (let edit = 0; edit < 5; edit += 1) {
     fleet.tables = editTables(fleet.tables!, edit);
   }
   fleet.run(2_000);
   const newest = fleet.tables!.revision;
-  fleet.tables = createTables(TODAY, 2);
+  fleet.tables = createTables(FOUR_DOMAINS, 2);
   const { host } = fleet.getNode("entry-1-0");
   fleet.getNode("entry-1-0").isAlive = false;
   fleet.run(2_000);
@@ -286,10 +292,10 @@
 });
 
 test("a failure domain that starts as a whole takes newer tables from others", () => {
-  const fleet = startFleet(TODAY);
+  const fleet = startFleet(FOUR_DOMAINS);
   fleet.tables = editTables(fleet.tables!, 1);
   fleet.run(2_000);
-  fleet.tables = createTables(TODAY, 2);
+  fleet.tables = createTables(FOUR_DOMAINS, 2);
   const hosts = fleet.listNodes().map((node) => node.host)
     .filter((host) => host.failureDomain === formatDomain(2));
   for (const host of hosts) fleet.getNode(host.id).isAlive = false;
@@ -314,11 +320,11 @@
   assert.is(listReaders().length, 2);
   fleet.tables = editTables(fleet.tables!, 1);
   fleet.run(1_000);
-  assert.ok(isEveryoneAt(fleet, 3));
+  assert.ok(hasEveryDaemonRevision(fleet, 3));
 });
 
 test("a claim of a ticket homed in another failure domain reaches its home", () => {
-  const fleet = startFleet(TODAY);
+  const fleet = startFleet(FOUR_DOMAINS);
   const node = fleet.getNode("entry-0-0");
   const homes = node.core.describe(fleet.now).peers;
   const remote = homes.find((peer) => peer.id === "entry-3-1");
--- a/test/core/membership/state_publisher_test.ts
+++ b/test/core/membership/state_publisher_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { ControlPeriods } from "../../../src/core/membership/control_periods.ts";
+import { ControlIntervals } from "../../../src/core/membership/control_periods.ts";
 import { StatePublisher } from "../../../src/core/membership/state_publisher.ts";
 import type { UpstreamDigest } from "../../../src/core/messages.ts";
 
@@ -21,7 +21,7 @@
   const publisher = new StatePublisher(
     "entry-1",
     "i1",
-    new ControlPeriods(300),
+    new ControlIntervals(300),
   );
   publisher.recordOwn(createDigest("engine-1"));
   publisher.takeUpdate(1_000);
--- a/test/core/membership/whole_fleet_test.ts
+++ b/test/core/membership/whole_fleet_test.ts
@@ -24,7 +24,7 @@
 /** Part of the calls a second that the configuration service bears. */
 const MAX_CALLS_PER_SECOND = 2_000 * DOMAINS_RUN / SIZES.domains;
 
-function getMostCalls(fleet: ControlFleet): number {
+function getPeakCallsPerSecond(fleet: ControlFleet): number {
   return Math.max(0, ...fleet.callsBySecond.values());
 }
 
@@ -46,8 +46,8 @@
 test("daemons that start at once serve, within the calls allowed", () => {
   fleet.run(8_000);
   assert.is(countServing(fleet), DAEMONS_RUN);
-  const most = getMostCalls(fleet);
-  assert.ok(most <= MAX_CALLS_PER_SECOND, `${most} calls in a second`);
+  const peak = getPeakCallsPerSecond(fleet);
+  assert.ok(peak <= MAX_CALLS_PER_SECOND, `${peak} calls in a second`);
 });
 
 test("daemons that wake at once stay within the calls allowed", () => {
@@ -56,8 +56,8 @@
   fleet.clearCounts();
   for (const node of fleet.listNodes()) node.isPaused = false;
   fleet.run(8_000);
-  const most = getMostCalls(fleet);
-  assert.ok(most <= MAX_CALLS_PER_SECOND, `${most} calls in a second`);
+  const peak = getPeakCallsPerSecond(fleet);
+  assert.ok(peak <= MAX_CALLS_PER_SECOND, `${peak} calls in a second`);
   const readers = fleet.listNodes().filter((node) => node.isReading).length;
   assert.is(readers, DOMAINS_RUN * 2);
 });
@@ -68,8 +68,8 @@
   fleet.run(15_000);
   fleet.isPlatformUp = true;
   fleet.run(5_000);
-  const most = getMostCalls(fleet);
-  assert.ok(most <= MAX_CALLS_PER_SECOND, `${most} calls in a second`);
+  const peak = getPeakCallsPerSecond(fleet);
+  assert.ok(peak <= MAX_CALLS_PER_SECOND, `${peak} calls in a second`);
 });
 
 test.run();
