--- a/src/gateway/request_handler.ts
+++ b/src/gateway/request_handler.ts
@@ -79,8 +79,8 @@
   readonly #excludedUpstreamIds = new Set<string>();
   readonly #rejectedBy = new Set<string>();
   #running: RunningAttempt | undefined;
-  #allAttempts = 0;
-  #ranAttempts = 0;
+  #totalAttempts = 0;
+  #possibleRuns = 0;
   #hasForwarded = false;
   #isFinished = false;
   #head: { status: number; rawHeaders: string[] } | undefined;
@@ -147,7 +147,7 @@
     if (quarantine.isQuarantined(this.#fingerprint, performance.now())) {
       this.#applyVerdict(
         "quarantined",
-        this.#ranAttempts === 0
+        this.#possibleRuns === 0
           ? { kind: "refuse" }
           : { kind: "fail", isTimeout: false },
       );
@@ -171,7 +171,7 @@
     if (!upstream || this.#isUnavailable(upstream)) {
       this.#applyVerdict(
         this.#shortestBackoffMs === undefined ? "noPlace" : "allBackedOff",
-        this.#ranAttempts === 0
+        this.#possibleRuns === 0
           ? { kind: "refuse" }
           : { kind: "fail", isTimeout: false },
       );
@@ -225,7 +225,7 @@
     const { metadata } = this.#exchange;
     const isStream = this.#route.repeatability === Repeatability.Stream;
     const load = this.#getServiceLoad(upstream.id);
-    this.#allAttempts += 1;
+    this.#totalAttempts += 1;
     this.#sentAt = performance.now();
     load.ownRunning += 1;
     this.#running = runAttempt(this.#context, {
@@ -288,7 +288,7 @@
   #computeResponseHeaderTimeoutMs(): Milliseconds {
     const remainingMs = Math.max(1, this.#getRemainingMs());
     const isLastAttempt = !this.#canRetry() ||
-      this.#ranAttempts + 1 >= this.#route.maxAttempts;
+      this.#possibleRuns + 1 >= this.#route.maxAttempts;
     if (isLastAttempt) return remainingMs;
     const { latencyObjectiveMs, repeatability } = this.#route;
     return repeatability === Repeatability.Stream
@@ -307,14 +307,14 @@
     const { repeatability, isResumable, maxAttempts } = this.#route;
     const mayHaveRun = result.outcome !== AttemptOutcome.NotRun &&
       result.outcome !== AttemptOutcome.NotSent;
-    if (mayHaveRun) this.#ranAttempts += 1;
+    if (mayHaveRun) this.#possibleRuns += 1;
     return decideRetry({
       outcome: result.outcome,
       repeatability,
       isResumable,
-      possibleRuns: this.#ranAttempts,
+      possibleRuns: this.#possibleRuns,
       maxAttempts,
-      totalAttempts: this.#allAttempts,
+      totalAttempts: this.#totalAttempts,
       remainingMs: this.#getRemainingMs(),
     }, () => {
       const now = performance.now();
@@ -339,8 +339,8 @@
       outcome: result?.outcome,
       upstream: result?.upstreamId,
       status: result?.status,
-      attempts: this.#allAttempts,
-      ran: this.#ranAttempts,
+      attempts: this.#totalAttempts,
+      ran: this.#possibleRuns,
       questions: this.#engineSelector.permitCount,
       objectiveMs: this.#route.latencyObjectiveMs,
       sentMs: roundMs(this.#sentAt - this.#exchange.arrivedAt),
@@ -444,7 +444,7 @@
 
   #handleDeadline(): void {
     if (this.#isFinished) return;
-    const isWaiting = this.#running === undefined && this.#ranAttempts === 0;
+    const isWaiting = this.#running === undefined && this.#possibleRuns === 0;
     this.#running?.cancel();
     this.#applyVerdict(
       "deadline",
@@ -460,7 +460,7 @@
     this.#context.log.info("callerGone", {
       requestId: this.#exchange.metadata.requestId,
       route: this.#route.name,
-      attempts: this.#allAttempts,
+      attempts: this.#totalAttempts,
       hasStarted: this.#hasForwarded,
       elapsedMs: roundMs(performance.now() - this.#exchange.arrivedAt),
     });
