--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -53,6 +53,6 @@
         (a.candidate.host.id < b.candidate.host.id ? -1 : 1)
       ),
     redirects: false,
-    computeWorth: (slot) => slot.lastUsedAt,
+    computeRetentionValue: (slot) => slot.lastUsedAt,
   };
 }
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -388,7 +388,7 @@
           kind: "upstreamStateUnread",
           upstreamId,
           readId,
-          isRefused: false,
+          isConnectionRefused: false,
         }, at);
       });
       return;
@@ -402,7 +402,7 @@
             kind: "upstreamStateUnread",
             upstreamId,
             readId,
-            isRefused: true,
+            isConnectionRefused: true,
           },
           at,
         );
--- a/bench/start/start_command.ts
+++ b/bench/start/start_command.ts
@@ -7,7 +7,7 @@
   RevisionSource,
   TableExchange,
 } from "../../src/core/tables/table_exchange.ts";
-import { TableKeeper } from "../../src/core/tables/table_keeper.ts";
+import { TableReplica } from "../../src/core/tables/table_keeper.ts";
 import { TableSnapshot } from "../../src/core/tables/table_snapshot.ts";
 import {
   decodeEnvelope,
@@ -87,7 +87,7 @@
   const parsed = measureTime(() => parseTables(files, 2).unwrap());
   const oneKey = measureTime(() => parseTables(files.slice(0, 2), 2));
   const heapBefore = measureHeap();
-  const keeper = new TableKeeper();
+  const keeper = new TableReplica();
   keeper.offerTables(structuredClone(parsed.result));
   const heldMegabytes = (measureHeap() - heapBefore) / 1_048_576;
   const peer = measurePeerTransfer(keeper);
@@ -118,7 +118,7 @@
 
 /** Moves the whole in chunks from one exchange to another, through the codec. */
 function measurePeerTransfer(
-  keeper: TableKeeper,
+  keeper: TableReplica,
 ): Pick<
   StartRow,
   "fromPeerMs" | "peerMessages" | "peerBytes" | "largestMessageBytes"
@@ -126,7 +126,7 @@
   const queue: { to: "server" | "client"; message: PeerMessage }[] = [];
   const counts = { peerMessages: 0, peerBytes: 0, largestMessageBytes: 0 };
   const server = createExchange(keeper, "client", queue);
-  const target = new TableKeeper();
+  const target = new TableReplica();
   const client = createExchange(target, "server", queue);
   const { ms } = measureTime(() => {
     client.handlePeerRevisions("server", {
@@ -147,7 +147,12 @@
       } else if (message?.kind === "chunkRequest") {
         server.handleChunkRequest("client", message, 0);
       } else if (message?.kind === "tablesChunk") {
-        client.handleTablesChunk("server", message, RevisionSource.Domain, 0);
+        client.handleTablesChunk(
+          "server",
+          message,
+          RevisionSource.LocalDomain,
+          0,
+        );
       }
     }
   });
@@ -158,7 +163,7 @@
 }
 
 function createExchange(
-  keeper: TableKeeper,
+  keeper: TableReplica,
   to: "server" | "client",
   queue: { to: "server" | "client"; message: PeerMessage }[],
 ): TableExchange {
@@ -175,7 +180,7 @@
 
 /** Measures what a reader spends on one changed route: its key parsed, the delta found and taken. */
 function measurePublishedChange(
-  keeper: TableKeeper,
+  keeper: TableReplica,
   source: TablesStructure,
   files: readonly TableFile[],
 ): number {
@@ -198,7 +203,7 @@
 
 /** Measures one changed route as a delta, as every daemon but the readers takes it. */
 function measureChanges(
-  keeper: TableKeeper,
+  keeper: TableReplica,
   tables: TablesStructure,
 ): Pick<StartRow, "deltaBytes" | "deltaMs"> {
   const first = editTables(tables, 1);
--- a/src/core/control_plane.ts
+++ b/src/core/control_plane.ts
@@ -22,7 +22,7 @@
   TablesStructure,
 } from "./structures.ts";
 import { RevisionSource, TableExchange } from "./tables/table_exchange.ts";
-import type { TableKeeper } from "./tables/table_keeper.ts";
+import type { TableReplica } from "./tables/table_keeper.ts";
 
 export interface ControlPlaneOptions {
   selfId: string;
@@ -30,7 +30,7 @@
   failureDomain: string;
   settings: CoreSettings;
   seedHosts: readonly HostStructure[];
-  tables: TableKeeper;
+  tables: TableReplica;
   membership: Membership;
   emit: (effect: Effect) => void;
   getStrikes: (now: Milliseconds) => StrikeDigest[];
@@ -44,28 +44,28 @@
 }
 
 /** Daemons of other failure domains that a starting daemon asks for tables. */
-const START_REMOTE_PEERS = 3;
+const STARTUP_REMOTE_PEERS = 3;
 /** Start graces for which daemons that are not heard of yet are left to read the platform. */
-const UNKNOWN_PEER_GRACES = 2;
+const UNKNOWN_PEER_GRACE_PERIODS = 2;
 /** Start graces after which a daemon serves although a peer holds newer tables. */
-const MAX_START_GRACES = 5;
+const MAX_START_GRACE_PERIODS = 5;
 
 export class ControlPlane {
   readonly #options: ControlPlaneOptions;
   readonly #protocol: PeerProtocol;
   readonly #exchange: TableExchange;
-  readonly #readers: PlatformReaderElection;
+  readonly #platformReaders: PlatformReaderElection;
   /** Start of this process, or the end of its last pause. */
-  #beganAt: Milliseconds;
-  #isPlatformHeard = false;
+  #startedAt: Milliseconds;
+  #hasTriedPlatform = false;
   #isReading: boolean | undefined;
-  #hasAskedRemotePeers = false;
+  #hasQueriedRemotePeers = false;
 
   constructor(options: ControlPlaneOptions, now: Milliseconds) {
     const { tables, membership, emit } = options;
     this.#options = options;
-    this.#beganAt = now;
-    this.#readers = new PlatformReaderElection(options.selfId, now);
+    this.#startedAt = now;
+    this.#platformReaders = new PlatformReaderElection(options.selfId, now);
     this.#exchange = new TableExchange(tables, {
       emit,
       handleTablesAccepted: (at) => this.#handleTablesAccepted(at),
@@ -88,16 +88,16 @@
         this.#exchange.handleDeltas(
           from,
           { tablesDeltas, hostListDeltas },
-          RevisionSource.Domain,
+          RevisionSource.LocalDomain,
           at,
         ),
     });
   }
 
   /** Returns whether peers have had the time to make themselves heard. */
-  isSettled(now: Milliseconds): boolean {
+  hasConverged(now: Milliseconds): boolean {
     const { settings, membership } = this.#options;
-    if (now - this.#beganAt >= settings.startGraceMs) return true;
+    if (now - this.#startedAt >= settings.startGraceMs) return true;
     return membership.directory.countEntryHosts() > 1 &&
       this.#protocol.hasJoined() && membership.isEveryDomainPeerKnown();
   }
@@ -105,20 +105,20 @@
   /** Returns whether the tables in force may be served: the platform or a peer was asked for newer ones. */
   isReadyToServe(now: Milliseconds): boolean {
     const { tables, settings } = this.#options;
-    if (!tables.getSnapshot() || !this.isSettled(now)) return false;
-    const hasAsked = this.#isPlatformHeard ||
+    if (!tables.getSnapshot() || !this.hasConverged(now)) return false;
+    const hasCheckedForUpdates = this.#hasTriedPlatform ||
       this.#protocol.hasReceivedPeerState();
-    const isTooLate = now - this.#beganAt >=
-      settings.startGraceMs * MAX_START_GRACES;
+    const hasTimedOut = now - this.#startedAt >=
+      settings.startGraceMs * MAX_START_GRACE_PERIODS;
     const isUpToDate = this.#protocol.hasJoined() &&
       !this.#exchange.isBehind(now);
-    return hasAsked && (isTooLate || isUpToDate);
+    return hasCheckedForUpdates && (hasTimedOut || isUpToDate);
   }
 
   /** Takes the tables as the platform publishes them. */
   offerTables(tables: TablesStructure, now: Milliseconds): void {
-    this.#isPlatformHeard = true;
-    this.#readers.recordReadResult(true, now);
+    this.#hasTriedPlatform = true;
+    this.#platformReaders.recordReadResult(true, now);
     this.#exchange.offerTables(tables, now);
   }
 
@@ -135,13 +135,13 @@
 
   /** Records that the platform was read and has nothing newer. */
   recordPlatformReached(now: Milliseconds): void {
-    this.#isPlatformHeard = true;
-    this.#readers.recordReadResult(true, now);
+    this.#hasTriedPlatform = true;
+    this.#platformReaders.recordReadResult(true, now);
   }
 
-  recordPlatformUnreached(now: Milliseconds): void {
-    this.#isPlatformHeard = true;
-    this.#readers.recordReadResult(false, now);
+  recordPlatformUnreachable(now: Milliseconds): void {
+    this.#hasTriedPlatform = true;
+    this.#platformReaders.recordReadResult(false, now);
   }
 
   /** Publishes what this daemon, as the owner, knows of the upstream. */
@@ -177,16 +177,16 @@
 
   tick(now: Milliseconds): void {
     this.#requestFromRemotePeers(now);
-    this.#updateReading(now);
+    this.#updatePlatformReading(now);
     this.#protocol.tick(now);
     this.#exchange.tick(now);
   }
 
   /** Takes everything about peers for expired, after a pause of this process. */
   expireAll(now: Milliseconds): void {
-    this.#beganAt = now;
+    this.#startedAt = now;
     this.#protocol.expireAll();
-    this.#readers.clear(now);
+    this.#platformReaders.clear(now);
   }
 
   handleMessage(
@@ -249,31 +249,31 @@
 
   #getSource(from: string): RevisionSource {
     return this.#options.membership.members.isHost(from)
-      ? RevisionSource.Domain
+      ? RevisionSource.LocalDomain
       : RevisionSource.Outside;
   }
 
   /** Asks a few other failure domains once, so that a domain that starts as a whole hears of newer tables. */
   #requestFromRemotePeers(now: Milliseconds): void {
-    if (this.#hasAskedRemotePeers) return;
-    this.#hasAskedRemotePeers = true;
+    if (this.#hasQueriedRemotePeers) return;
+    this.#hasQueriedRemotePeers = true;
     const { membership, failureDomain, selfId } = this.#options;
     const candidates = [...membership.directory.getEntryHosts()]
       .filter((host) => host.failureDomain !== failureDomain);
     const ranked = rankByRendezvous(selfId, candidates);
-    for (const host of ranked.slice(0, START_REMOTE_PEERS)) {
+    for (const host of ranked.slice(0, STARTUP_REMOTE_PEERS)) {
       this.#exchange.sendRequest(host.id, now);
     }
   }
 
   /** Tells the platform task to begin or end reading when that changes. */
-  #updateReading(now: Milliseconds): void {
+  #updatePlatformReading(now: Milliseconds): void {
     const { membership, settings, emit } = this.#options;
     const isAwaitingPeers = !this.#protocol.hasJoined() &&
-      now - this.#beganAt < settings.startGraceMs;
-    const isStarting = now - this.#beganAt <
-      settings.startGraceMs * UNKNOWN_PEER_GRACES;
-    const isReading = this.#readers.update({
+      now - this.#startedAt < settings.startGraceMs;
+    const isStarting = now - this.#startedAt <
+      settings.startGraceMs * UNKNOWN_PEER_GRACE_PERIODS;
+    const isReading = this.#platformReaders.update({
       peers: [
         ...membership.listNonLeavingPeers(),
         ...(isStarting ? membership.listUnknownPeers() : []),
@@ -282,7 +282,7 @@
       isAwaitingPeers,
       isLeaving: membership.isSelfLeaving(),
     }, now);
-    this.#protocol.setPlatformReach(this.#readers.getReach());
+    this.#protocol.setPlatformReach(this.#platformReaders.getReach());
     if (isReading === this.#isReading) return;
     this.#isReading = isReading;
     emit({ kind: "readPlatform", isReading });
--- a/src/core/core_policy.ts
+++ b/src/core/core_policy.ts
@@ -21,7 +21,7 @@
   /** Whether owners send requests on to an upstream that has their adapter. */
   redirects: boolean;
   /** Returns the worth of keeping a resident adapter; the least is evicted first. */
-  computeWorth(
+  computeRetentionValue(
     slot: Slot,
     popularity: AdapterPopularity,
     now: Milliseconds,
@@ -32,6 +32,6 @@
 export const DEFAULT_CORE_POLICY: CorePolicy = {
   rankUpstreams,
   redirects: true,
-  computeWorth: (slot, popularity, now) =>
+  computeRetentionValue: (slot, popularity, now) =>
     popularity.getScore(slot.adapterKey, now),
 };
--- a/src/core/daemon_core.ts
+++ b/src/core/daemon_core.ts
@@ -25,7 +25,7 @@
 import { OwnedUpstreams } from "./residency/owned_upstreams.ts";
 import type { RankedUpstream } from "./routing/upstream_selector.ts";
 import type { HostStructure, Milliseconds } from "./structures.ts";
-import { TableKeeper } from "./tables/table_keeper.ts";
+import { TableReplica } from "./tables/table_keeper.ts";
 import type { TableSnapshot } from "./tables/table_snapshot.ts";
 
 export interface DaemonCoreOptions {
@@ -62,14 +62,14 @@
 
 export class DaemonCore {
   readonly #options: DaemonCoreOptions;
-  readonly #tables = new TableKeeper();
+  readonly #tables = new TableReplica();
   readonly #membership: Membership;
   readonly #quarantine: CrashQuarantine;
   readonly #store: StorePermitClient;
   readonly #tickets: TicketIssuer;
   readonly #executor: RequestExecutor;
   readonly #ownership: OwnedUpstreams;
-  readonly #control: ControlPlane;
+  readonly #controlPlane: ControlPlane;
   #state: DaemonState = daemonChart.initial;
   #effects: Effect[] = [];
   #lastEventAt: Milliseconds;
@@ -89,7 +89,7 @@
       membership: this.#membership,
       emit: this.#emit,
     });
-    this.#control = new ControlPlane({
+    this.#controlPlane = new ControlPlane({
       selfId,
       incarnation,
       failureDomain,
@@ -114,10 +114,10 @@
       store: this.#store,
       emit: this.#emit,
       publishUpstream: (digest, at) =>
-        this.#control.publishUpstream(digest, at),
-      removeUpstream: (id) => this.#control.removeUpstream(id),
+        this.#controlPlane.publishUpstream(digest, at),
+      removeUpstream: (id) => this.#controlPlane.removeUpstream(id),
       publishEvictions: (evictions) =>
-        this.#control.publishEvictions(evictions),
+        this.#controlPlane.publishEvictions(evictions),
     });
     this.#tickets = new TicketIssuer({
       selfId,
@@ -136,7 +136,7 @@
       tables: this.#tables,
       membership: this.#membership,
       quarantine: this.#quarantine,
-      publishStrikes: (at) => this.#control.publishStrikes(at),
+      publishStrikes: (at) => this.#controlPlane.publishStrikes(at),
       retryBudget: new RetryBudget(settings.retryRatio),
       tickets: this.#tickets,
       emit: this.#emit,
@@ -165,7 +165,7 @@
     const hasPaused =
       now - this.#lastEventAt > this.#options.settings.pauseThresholdMs;
     this.#lastEventAt = now;
-    if (hasPaused) this.#expireBeliefs(now);
+    if (hasPaused) this.#expireAfterPause(now);
     this.#apply(event, now);
     return this.#takeEffects(now);
   }
@@ -203,7 +203,7 @@
 
   /** Delivers messages to this daemon itself; returns the other effects. */
   #takeEffects(now: Milliseconds): Effect[] {
-    const outward: Effect[] = [];
+    const external: Effect[] = [];
     for (
       let effect = this.#effects.shift();
       effect !== undefined;
@@ -211,9 +211,9 @@
     ) {
       if (effect.kind === "send" && effect.to === this.#options.selfId) {
         this.#receive(effect.to, effect.message, now);
-      } else outward.push(effect);
+      } else external.push(effect);
     }
-    return outward;
+    return external;
   }
 
   #apply(event: CoreEvent, now: Milliseconds): void {
@@ -221,7 +221,7 @@
       case "requestArrived":
         if (this.#state === "serving") {
           this.#executor.handleArrival(event, now);
-        } else this.#refuseUnserved(event);
+        } else this.#refuseNotServing(event);
         break;
       case "callerGone":
         this.#executor.handleCallerGone(event.requestId, now);
@@ -240,25 +240,29 @@
       case "upstreamStateUnread":
         if (this.#executor.handleStateRead(event, now)) break;
         this.#ownership.getOwner(event.upstreamId)
-          ?.recordStateReadFailure(event.readId, event.isRefused, now);
+          ?.recordStateReadFailure(
+            event.readId,
+            event.isConnectionRefused,
+            now,
+          );
         break;
       case "orderEnded":
         this.#ownership.recordOrderEnd(event.orderId, event.result, now);
         break;
       case "tablesPublished":
-        this.#control.offerTables(event.tables, now);
+        this.#controlPlane.offerTables(event.tables, now);
         break;
       case "tablesDeltaPublished":
-        this.#control.offerPublishedDelta(event.delta, now);
+        this.#controlPlane.offerPublishedDelta(event.delta, now);
         break;
       case "hostListPublished":
-        this.#control.offerHostList(event.hostList, now);
+        this.#controlPlane.offerHostList(event.hostList, now);
         break;
       case "platformReached":
-        this.#control.recordPlatformReached(now);
+        this.#controlPlane.recordPlatformReached(now);
         break;
       case "platformUnreachable":
-        this.#control.recordPlatformUnreached(now);
+        this.#controlPlane.recordPlatformUnreachable(now);
         break;
       case "tick":
         this.#tick(now);
@@ -328,11 +332,11 @@
         this.#executor.handleTicketVerdict(from, message, now);
         break;
       default:
-        this.#control.handleMessage(from, message, now);
+        this.#controlPlane.handleMessage(from, message, now);
     }
   }
 
-  #refuseUnserved(event: RequestArrivedEvent): void {
+  #refuseNotServing(event: RequestArrivedEvent): void {
     const reason = this.#state === "starting"
       ? RefusalReason.NotReady
       : RefusalReason.Stopping;
@@ -349,16 +353,16 @@
 
   #tick(now: Milliseconds): void {
     this.#updateOwnership(now);
-    if (this.#control.isSettled(now)) this.#store.tick(now);
+    if (this.#controlPlane.hasConverged(now)) this.#store.tick(now);
     this.#ownership.tick(now);
     this.#executor.tick(now);
-    this.#control.tick(now);
-    if (this.#state === "starting" && this.#control.isReadyToServe(now)) {
-      this.#move("tablesInForce");
+    this.#controlPlane.tick(now);
+    if (this.#state === "starting" && this.#controlPlane.isReadyToServe(now)) {
+      this.#changeState("tablesInForce");
     }
     if (this.#state === "stopping" && this.#isDrained(now)) {
-      this.#move("drained");
-      this.#control.flush(now);
+      this.#changeState("drained");
+      this.#controlPlane.flush(now);
       this.#emit({ kind: "stopCompleted" });
     }
   }
@@ -367,37 +371,37 @@
   #isDrained(now: Milliseconds): boolean {
     if (!this.#executor.isDrained()) return false;
     const routes = this.#tables.getSnapshot()?.getRoutes() ?? [];
-    const longestUseMs = routes.reduce(
+    const longestRequestMs = routes.reduce(
       (longest, route) =>
         route.idempotent
           ? longest
           : Math.max(longest, route.queueDeadlineMs + route.maxRunMs),
       0,
     );
-    return !this.#tickets.hasTicketsInUse(longestUseMs, now);
+    return !this.#tickets.hasTicketsInUse(longestRequestMs, now);
   }
 
   #updateOwnership(now: Milliseconds): void {
-    if (this.#control.isSettled(now)) this.#ownership.update(now);
+    if (this.#controlPlane.hasConverged(now)) this.#ownership.update(now);
   }
 
   #stop(now: Milliseconds): void {
     if (daemonChart.getNext(this.#state, "stopRequested") === undefined) return;
-    this.#move("stopRequested");
-    this.#control.publishLeaving(now);
+    this.#changeState("stopRequested");
+    this.#controlPlane.publishLeaving(now);
     this.#ownership.handOverAll(now);
-    this.#control.flush(now);
+    this.#controlPlane.flush(now);
   }
 
   /** After a pause, takes leases, ownership and views of peers for expired. */
-  #expireBeliefs(now: Milliseconds): void {
+  #expireAfterPause(now: Milliseconds): void {
     this.#emit({ kind: "count", counter: "pause_detected", tag: "" });
     this.#ownership.expireAll(now);
-    this.#control.expireAll(now);
+    this.#controlPlane.expireAll(now);
     this.#executor.expireLeases(now);
   }
 
-  #move(trigger: DaemonTrigger): void {
+  #changeState(trigger: DaemonTrigger): void {
     this.#state = daemonChart.getNextOrThrow(this.#state, trigger);
   }
 }
--- a/src/core/decay.ts
+++ b/src/core/decay.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from "./structures.ts";
 
 /** Returns the part of a count that is left after some time, given the time in which it halves. */
-export function computeDecay(
+export function computeDecayFactor(
   elapsedMs: Milliseconds,
   halfLifeMs: Milliseconds,
 ): number {
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -53,7 +53,7 @@
     upstreamId: string;
     readId: string;
     /** Whether the connection was refused, so that no process listens. */
-    isRefused: boolean;
+    isConnectionRefused: boolean;
   }
   | { kind: "orderEnded"; orderId: string; result: OrderResult }
   | { kind: "tablesPublished"; tables: TablesStructure }
--- a/src/core/execution/attempt_examiner.ts
+++ b/src/core/execution/attempt_examiner.ts
@@ -62,11 +62,11 @@
     if (!crashCheck) return false;
     this.#crashChecks.delete(event.readId);
     const isUnanswered = event.kind === "upstreamStateUnread" &&
-      !event.isRefused && crashCheck.reads < MAX_READS;
+      !event.isConnectionRefused && crashCheck.reads < MAX_READS;
     if (isUnanswered && this.#readState(crashCheck)) return true;
     const hasCrashed = event.kind === "upstreamStateRead"
       ? event.state.incarnation !== crashCheck.credit.upstreamIncarnation
-      : event.isRefused;
+      : event.isConnectionRefused;
     const { request, retry } = crashCheck;
     if (hasCrashed) {
       this.#context.options.quarantine.recordCrash(
--- a/src/core/execution/execution_context.ts
+++ b/src/core/execution/execution_context.ts
@@ -2,13 +2,13 @@
 import type { CorePolicy } from "../core_policy.ts";
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
-import { IdSource } from "../id_source.ts";
+import { IdGenerator } from "../id_source.ts";
 import type { CrashQuarantine } from "../limits/crash_quarantine.ts";
 import type { RetryBudget } from "../limits/retry_budget.ts";
 import type { Membership } from "../membership/membership.ts";
 import { Outcome, type RefusalReason, type RetryReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { TableKeeper } from "../tables/table_keeper.ts";
+import type { TableReplica } from "../tables/table_keeper.ts";
 import type { LiveRequest } from "./live_request.ts";
 import type { TicketIssuer } from "./ticket_book.ts";
 
@@ -18,7 +18,7 @@
   failureDomain: string;
   settings: CoreSettings;
   policy: CorePolicy;
-  tables: TableKeeper;
+  tables: TableReplica;
   membership: Membership;
   quarantine: CrashQuarantine;
   /** Tells peers of new strikes at once. */
@@ -43,11 +43,11 @@
   readonly options: RequestExecutorOptions;
   /** Requests that have no final answer yet, by identifier. */
   readonly requests = new Map<string, LiveRequest>();
-  readonly #ids: IdSource;
+  readonly #ids: IdGenerator;
 
   constructor(options: RequestExecutorOptions) {
     this.options = options;
-    this.#ids = new IdSource(options);
+    this.#ids = new IdGenerator(options);
   }
 
   /** Emits a final answer other than a completed one. */
--- a/src/core/placement/adapter_demand.ts
+++ b/src/core/placement/adapter_demand.ts
@@ -5,7 +5,7 @@
  * bottleneck, and three out of four callers would reach it across failure
  * domains.
  */
-import { computeDecay } from "../decay.ts";
+import { computeDecayFactor } from "../decay.ts";
 import type { Milliseconds } from "../structures.ts";
 
 /** A request, as far as it counts for demand. */
@@ -87,5 +87,5 @@
 }
 
 function computeDemandDecay(demand: Demand, now: Milliseconds): number {
-  return computeDecay(now - demand.updatedAt, HALF_LIFE_MS);
+  return computeDecayFactor(now - demand.updatedAt, HALF_LIFE_MS);
 }
--- a/src/core/placement/adapter_slots.ts
+++ b/src/core/placement/adapter_slots.ts
@@ -4,7 +4,7 @@
  * adapters pass through few slots while a few adapters stay busy. A recently
  * evicted adapter loads ten times as fast, from host memory.
  */
-import { computeDecay } from "../decay.ts";
+import { computeDecayFactor } from "../decay.ts";
 import type { Milliseconds } from "../structures.ts";
 import type {
   FetchObservation,
@@ -398,7 +398,7 @@
 
 function computeDecayedUses(slot: AdapterSlot, now: Milliseconds): number {
   return slot.decayedUses *
-    computeDecay(now - slot.lastUsedAt, USE_HALF_LIFE_MS);
+    computeDecayFactor(now - slot.lastUsedAt, USE_HALF_LIFE_MS);
 }
 
 /** Ranks by frequency of use, then by recency. */
--- a/src/core/placement/upstream_health.ts
+++ b/src/core/placement/upstream_health.ts
@@ -7,7 +7,7 @@
  * combined counts reveal a failure rate of which each host alone sees too few
  * failures.
  */
-import { computeDecay } from "../decay.ts";
+import { computeDecayFactor } from "../decay.ts";
 import type { Milliseconds } from "../structures.ts";
 
 /** Outcome of one attempt, as far as it concerns the health of the upstream. */
@@ -161,7 +161,7 @@
   #updateCounts(upstreamId: string, now: Milliseconds): OutcomeCounts {
     const counts = this.#counts.get(upstreamId) ??
       { answered: 0, failed: 0, updatedAt: now, avoidedUntil: now };
-    const decay = computeDecay(now - counts.updatedAt, HALF_LIFE_MS);
+    const decay = computeDecayFactor(now - counts.updatedAt, HALF_LIFE_MS);
     counts.answered *= decay;
     counts.failed *= decay;
     counts.updatedAt = now;
--- a/src/core/residency/adapter_popularity.ts
+++ b/src/core/residency/adapter_popularity.ts
@@ -1,5 +1,5 @@
 /** Exponentially decayed request counts by adapter. */
-import { computeDecay } from "../decay.ts";
+import { computeDecayFactor } from "../decay.ts";
 import type { EvictionDigest } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
@@ -73,6 +73,7 @@
   getScore(adapterKey: string, now: Milliseconds): number {
     const count = this.#counts.get(adapterKey);
     if (!count) return 0;
-    return count.value * computeDecay(now - count.updatedAt, HALF_LIFE_MS);
+    return count.value *
+      computeDecayFactor(now - count.updatedAt, HALF_LIFE_MS);
   }
 }
--- a/src/core/residency/owned_upstreams.ts
+++ b/src/core/residency/owned_upstreams.ts
@@ -8,7 +8,7 @@
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
 import type { OrderResult } from "../events.ts";
-import { IdSource } from "../id_source.ts";
+import { IdGenerator } from "../id_source.ts";
 import type { Membership } from "../membership/membership.ts";
 import type {
   EvictionDigest,
@@ -22,7 +22,7 @@
   Milliseconds,
   PoolStructure,
 } from "../structures.ts";
-import type { TableKeeper } from "../tables/table_keeper.ts";
+import type { TableReplica } from "../tables/table_keeper.ts";
 import { AdapterPopularity } from "./adapter_popularity.ts";
 import type { StorePermit, StorePermitClient } from "./store_permit_client.ts";
 import type { OwnedUpstreamDescription } from "./owner_description.ts";
@@ -33,7 +33,7 @@
   incarnation: string;
   settings: CoreSettings;
   policy: CorePolicy;
-  tables: TableKeeper;
+  tables: TableReplica;
   membership: Membership;
   store: StorePermitClient;
   emit: (effect: Effect) => void;
@@ -61,7 +61,7 @@
    * Shared by all upstreams, so that one owned again does not repeat an
    * identifier.
    */
-  readonly #ids: IdSource;
+  readonly #ids: IdGenerator;
   readonly #handovers = new Map<
     string,
     { message: HandoverMessage; arrivedAt: Milliseconds }
@@ -73,7 +73,7 @@
 
   constructor(options: OwnedUpstreamsOptions) {
     this.#options = options;
-    this.#ids = new IdSource(options);
+    this.#ids = new IdGenerator(options);
     const getShare = (customer: string) =>
       options.tables.getSnapshot()?.getCustomer(customer)?.share ?? 1;
     this.#creditShares = new FairShares(getShare);
--- a/src/core/residency/slot_loader.ts
+++ b/src/core/residency/slot_loader.ts
@@ -255,7 +255,7 @@
 
   #computeRetentionValue(slot: Slot, now: Milliseconds): number {
     const { policy, popularity } = this.#context.options;
-    return policy.computeWorth(slot, popularity, now);
+    return policy.computeRetentionValue(slot, popularity, now);
   }
 
   /**
--- a/src/core/residency/store_permit_client.ts
+++ b/src/core/residency/store_permit_client.ts
@@ -6,7 +6,7 @@
  */
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
-import { IdSource } from "../id_source.ts";
+import { IdGenerator } from "../id_source.ts";
 import { DEAD_TIMEOUT_RATIO } from "../membership/failure_detector.ts";
 import type { Membership } from "../membership/membership.ts";
 import type {
@@ -60,11 +60,11 @@
   #sent: StoreDemand & { to: string; at: Milliseconds } | undefined;
   #status: StoreStatusMessage | undefined;
   #statusAt = Number.NEGATIVE_INFINITY;
-  readonly #ids: IdSource;
+  readonly #ids: IdGenerator;
 
   constructor(options: StorePermitClientOptions) {
     this.#options = options;
-    this.#ids = new IdSource(options);
+    this.#ids = new IdGenerator(options);
   }
 
   /** Starts or stops the coordinator on this daemon as membership changes. */
--- a/src/core/tables/bucket_map.ts
+++ b/src/core/tables/bucket_map.ts
@@ -1,7 +1,7 @@
 /** An immutable map in buckets, so that a change copies only the buckets that it touches. */
 import { hashText } from "../hashing.ts";
 
-const BUCKETS = 512;
+const BUCKET_COUNT = 512;
 
 export class BucketMap<Value> {
   readonly size: number;
@@ -19,7 +19,7 @@
     entries: Iterable<readonly [string, Value]>,
   ): BucketMap<Value> {
     const buckets = Array.from(
-      { length: BUCKETS },
+      { length: BUCKET_COUNT },
       () => new Map<string, Value>(),
     );
     for (const [key, value] of entries) {
@@ -46,12 +46,12 @@
     removed: readonly string[],
   ): BucketMap<Value> {
     const buckets = [...this.#buckets];
-    const copied = new Set<number>();
+    const copiedIndexes = new Set<number>();
     let size = this.size;
     const getOwnBucket = (key: string): Map<string, Value> => {
       const index = getBucketIndex(key);
-      if (!copied.has(index)) buckets[index] = new Map(buckets[index]);
-      copied.add(index);
+      if (!copiedIndexes.has(index)) buckets[index] = new Map(buckets[index]);
+      copiedIndexes.add(index);
       return buckets[index] as Map<string, Value>;
     };
     for (const key of removed) if (getOwnBucket(key).delete(key)) size -= 1;
@@ -65,7 +65,7 @@
 }
 
 function getBucketIndex(key: string): number {
-  return hashText(key) % BUCKETS;
+  return hashText(key) % BUCKET_COUNT;
 }
 
 function countEntries(
--- a/src/core/tables/chunk_collector.ts
+++ b/src/core/tables/chunk_collector.ts
@@ -4,21 +4,21 @@
 
 /** Time without a chunk after which it is asked for again, and then given up. */
 const CHUNK_TIMEOUT_MS = 1_000;
-const MAX_REPEATS = 2;
+const MAX_RETRIES = 2;
 
 /** A chunk to ask for. */
-export interface WantedChunk {
+export interface RequestedChunk {
   from: string;
   revision: number;
   index: number;
 }
 
-interface Collection<Chunk> {
+interface Transfer<Chunk> {
   from: string;
   position: ChunkPosition;
   chunks: Chunk[];
-  askedAt: Milliseconds;
-  repeats: number;
+  requestedAt: Milliseconds;
+  retries: number;
 }
 
 /** Every chunk of one revision. */
@@ -29,10 +29,10 @@
 }
 
 export class ChunkCollector<Chunk extends { position: ChunkPosition }> {
-  #collection: Collection<Chunk> | undefined;
+  #transfer: Transfer<Chunk> | undefined;
 
   isCollecting(): boolean {
-    return this.#collection !== undefined;
+    return this.#transfer !== undefined;
   }
 
   /**
@@ -46,47 +46,48 @@
     now: Milliseconds,
   ): CollectedRevision<Chunk> | undefined {
     const { position } = chunk;
-    const known = this.#collection;
-    const isOther = known !== undefined &&
-      (known.from !== from || known.position.revision !== position.revision);
-    if (isOther && !(known.from === from && position.index === 0)) return;
-    const collection: Collection<Chunk> = known && !isOther ? known : {
+    const current = this.#transfer;
+    const isOther = current !== undefined &&
+      (current.from !== from ||
+        current.position.revision !== position.revision);
+    if (isOther && !(current.from === from && position.index === 0)) return;
+    const transfer: Transfer<Chunk> = current && !isOther ? current : {
       from,
       position,
       chunks: [],
-      askedAt: now,
-      repeats: 0,
+      requestedAt: now,
+      retries: 0,
     };
-    if (position.index !== collection.chunks.length) return;
-    collection.chunks.push(chunk);
-    collection.askedAt = now;
-    collection.repeats = 0;
-    this.#collection = collection;
-    if (collection.chunks.length < collection.position.count) return;
-    this.#collection = undefined;
-    const { revision, digest } = collection.position;
-    return { revision, digest, chunks: collection.chunks };
+    if (position.index !== transfer.chunks.length) return;
+    transfer.chunks.push(chunk);
+    transfer.requestedAt = now;
+    transfer.retries = 0;
+    this.#transfer = transfer;
+    if (transfer.chunks.length < transfer.position.count) return;
+    this.#transfer = undefined;
+    const { revision, digest } = transfer.position;
+    return { revision, digest, chunks: transfer.chunks };
   }
 
   /** Returns the chunk to ask for next, after one was added. */
-  getNext(): WantedChunk | undefined {
-    if (!this.#collection) return undefined;
-    const { from, position, chunks } = this.#collection;
+  getNextChunk(): RequestedChunk | undefined {
+    if (!this.#transfer) return undefined;
+    const { from, position, chunks } = this.#transfer;
     return { from, revision: position.revision, index: chunks.length };
   }
 
   /** Returns the chunk to ask for again; gives the collection up after some repeats. */
-  tick(now: Milliseconds): WantedChunk | undefined {
-    const collection = this.#collection;
-    if (!collection || now - collection.askedAt < CHUNK_TIMEOUT_MS) {
+  tick(now: Milliseconds): RequestedChunk | undefined {
+    const collection = this.#transfer;
+    if (!collection || now - collection.requestedAt < CHUNK_TIMEOUT_MS) {
       return undefined;
     }
-    if (collection.repeats >= MAX_REPEATS) {
-      this.#collection = undefined;
+    if (collection.retries >= MAX_RETRIES) {
+      this.#transfer = undefined;
       return undefined;
     }
-    collection.repeats += 1;
-    collection.askedAt = now;
-    return this.getNext();
+    collection.retries += 1;
+    collection.requestedAt = now;
+    return this.getNextChunk();
   }
 }
--- a/src/core/tables/chunk_sender.ts
+++ b/src/core/tables/chunk_sender.ts
@@ -6,24 +6,24 @@
 } from "../messages.ts";
 import type { HostListSnapshot } from "./host_list_snapshot.ts";
 import { buildChunks, getSectionRows, type SectionRow } from "./row_chunks.ts";
-import type { TableKeeper } from "./table_keeper.ts";
+import type { TableReplica } from "./table_keeper.ts";
 import type { TableSnapshot } from "./table_snapshot.ts";
 
 type TableSection = "customers" | "routes" | "pools" | "hosts";
 
 /** One revision, divided. */
-interface DividedRevision {
+interface ChunkedRevision {
   revision: number;
   digest: string;
   chunks: SectionRow<TableSection>[][];
 }
 
-export class ChunkSender {
-  readonly #tables: TableKeeper;
-  #dividedTables: DividedRevision | undefined;
-  #dividedHosts: DividedRevision | undefined;
+export class ChunkCache {
+  readonly #tables: TableReplica;
+  #chunkedTables: ChunkedRevision | undefined;
+  #chunkedHosts: ChunkedRevision | undefined;
 
-  constructor(tables: TableKeeper) {
+  constructor(tables: TableReplica) {
     this.#tables = tables;
   }
 
@@ -36,16 +36,16 @@
     revision: number,
     index: number,
   ): TablesChunkMessage | HostListChunkMessage | undefined {
-    const divided = this.#getDivided(table, revision);
-    if (!divided) return undefined;
-    const wanted = divided.revision === revision ? index : 0;
-    const rows = divided.chunks[wanted];
+    const chunked = this.#getChunked(table, revision);
+    if (!chunked) return undefined;
+    const chunkIndex = chunked.revision === revision ? index : 0;
+    const rows = chunked.chunks[chunkIndex];
     if (!rows) return undefined;
     const position = {
-      revision: divided.revision,
-      digest: divided.digest,
-      index: wanted,
-      count: divided.chunks.length,
+      revision: chunked.revision,
+      digest: chunked.digest,
+      index: chunkIndex,
+      count: chunked.chunks.length,
     };
     switch (table) {
       case ChunkedTable.Tables:
@@ -67,52 +67,52 @@
 
   /** Frees the revisions that were divided for transfers. */
   clear(): void {
-    this.#dividedTables = undefined;
-    this.#dividedHosts = undefined;
+    this.#chunkedTables = undefined;
+    this.#chunkedHosts = undefined;
   }
 
-  #getDivided(
+  #getChunked(
     table: ChunkedTable,
     revision: number,
-  ): DividedRevision | undefined {
+  ): ChunkedRevision | undefined {
     switch (table) {
       case ChunkedTable.Tables: {
         const snapshot = this.#tables.getSnapshot();
-        const isServed = this.#dividedTables?.revision === revision;
+        const isCached = this.#chunkedTables?.revision === revision;
         if (
-          !isServed && snapshot && this.#isStale(this.#dividedTables, snapshot)
+          !isCached && snapshot && this.#isStale(this.#chunkedTables, snapshot)
         ) {
-          this.#dividedTables = buildTableChunks(snapshot);
+          this.#chunkedTables = buildTableChunks(snapshot);
         }
-        return this.#dividedTables;
+        return this.#chunkedTables;
       }
       case ChunkedTable.HostList: {
         const hostList = this.#tables.getHostList();
-        const isServed = this.#dividedHosts?.revision === revision;
+        const isServed = this.#chunkedHosts?.revision === revision;
         if (
-          !isServed && hostList && this.#isStale(this.#dividedHosts, hostList)
+          !isServed && hostList && this.#isStale(this.#chunkedHosts, hostList)
         ) {
-          this.#dividedHosts = buildHostChunks(hostList);
+          this.#chunkedHosts = buildHostChunks(hostList);
         }
-        return this.#dividedHosts;
+        return this.#chunkedHosts;
       }
     }
   }
 
   #isStale(
-    divided: DividedRevision | undefined,
+    divided: ChunkedRevision | undefined,
     inForce: { revision: number },
   ): boolean {
     return divided?.revision !== inForce.revision;
   }
 }
 
-function buildTableChunks(snapshot: TableSnapshot): DividedRevision {
+function buildTableChunks(snapshot: TableSnapshot): ChunkedRevision {
   const { revision, digest } = snapshot;
   return { revision, digest, chunks: buildChunks(listRows(snapshot)) };
 }
 
-function buildHostChunks(hostList: HostListSnapshot): DividedRevision {
+function buildHostChunks(hostList: HostListSnapshot): ChunkedRevision {
   const { revision, digest } = hostList;
   const rows = hostList.getHosts().map((row) => ({
     section: "hosts" as const,
--- a/src/core/tables/delta_log.ts
+++ b/src/core/tables/delta_log.ts
@@ -12,14 +12,14 @@
 /** Rows of one answer or one spread delta at most; more are moved in chunks. */
 export const MAX_DELTA_ROWS = 1_000;
 
-interface Entry<Delta> {
+interface LogEntry<Delta> {
   delta: Delta;
   rows: number;
 }
 
 export class DeltaLog<Delta extends RevisionSpan> {
   readonly #countRows: (delta: Delta) => number;
-  #entries: Entry<Delta>[] = [];
+  #entries: LogEntry<Delta>[] = [];
   #rows = 0;
 
   constructor(countRows: (delta: Delta) => number) {
--- a/src/core/tables/row_set.ts
+++ b/src/core/tables/row_set.ts
@@ -23,7 +23,7 @@
   readonly digest: RowDigest;
   readonly #format: RowFormat<Row>;
   readonly #rows: BucketMap<Row>;
-  #list: readonly Row[] | undefined;
+  #cachedRows: readonly Row[] | undefined;
 
   private constructor(
     format: RowFormat<Row>,
@@ -58,7 +58,7 @@
   }
 
   getRows(): readonly Row[] {
-    return this.#list ??= Array.from(
+    return this.#cachedRows ??= Array.from(
       this.#rows.listEntries(),
       ([, row]) => row,
     );
--- a/src/core/tables/table_exchange.ts
+++ b/src/core/tables/table_exchange.ts
@@ -21,17 +21,17 @@
   Milliseconds,
   TablesStructure,
 } from "../structures.ts";
-import { ChunkCollector, type WantedChunk } from "./chunk_collector.ts";
-import { ChunkSender } from "./chunk_sender.ts";
-import type { OfferResult, TableKeeper } from "./table_keeper.ts";
+import { ChunkCollector, type RequestedChunk } from "./chunk_collector.ts";
+import { ChunkCache } from "./chunk_sender.ts";
+import type { OfferResult, TableReplica } from "./table_keeper.ts";
 
 /** Time between requests for tables. */
 const TABLES_REQUEST_INTERVAL_MS = 300;
 /** Time after the last chunk was asked for when the divided tables are freed. */
-const CHUNKS_KEPT_MS = 30_000;
+const CHUNK_TTL_MS = 30_000;
 
 /** Time for which a revision that was rejected whole is not asked for again. */
-const REJECTION_KEPT_MS = 30_000;
+const REJECTION_TTL_MS = 30_000;
 
 /** What the exchange asks of its surroundings. */
 export interface TableExchangeHandlers {
@@ -44,32 +44,35 @@
 }
 
 /** Where a revision came from: from outside, it is spread in the failure domain. */
-export const RevisionSource = { Outside: "outside", Domain: "domain" } as const;
+export const RevisionSource = {
+  Outside: "outside",
+  LocalDomain: "domain",
+} as const;
 export type RevisionSource =
   (typeof RevisionSource)[keyof typeof RevisionSource];
 
 export class TableExchange {
-  readonly #tables: TableKeeper;
+  readonly #tables: TableReplica;
   readonly #handlers: TableExchangeHandlers;
-  readonly #sender: ChunkSender;
+  readonly #chunkCache: ChunkCache;
   readonly #tablesCollector = new ChunkCollector<TablesChunkMessage>();
   readonly #hostsCollector = new ChunkCollector<HostListChunkMessage>();
   #lastRequestAt = Number.NEGATIVE_INFINITY;
   #lastServedAt = Number.NEGATIVE_INFINITY;
   #needsFull = false;
-  #heardTablesRevision = 0;
+  #newestPeerTablesRevision = 0;
   /** Newest revision that was rejected, which is not asked for again at once. */
   #rejected = { revision: 0, at: Number.NEGATIVE_INFINITY };
 
-  constructor(tables: TableKeeper, handlers: TableExchangeHandlers) {
+  constructor(tables: TableReplica, handlers: TableExchangeHandlers) {
     this.#tables = tables;
     this.#handlers = handlers;
-    this.#sender = new ChunkSender(tables);
+    this.#chunkCache = new ChunkCache(tables);
   }
 
   /** Returns whether a peer has named newer tables than those in force. */
   isBehind(now: Milliseconds): boolean {
-    return this.#heardTablesRevision > this.#getKnownRevision(now);
+    return this.#newestPeerTablesRevision > this.#getKnownRevision(now);
   }
 
   /** Asks a peer that holds newer revisions for them. */
@@ -78,19 +81,19 @@
     revisions: KnownRevisions,
     now: Milliseconds,
   ): void {
-    this.#heardTablesRevision = Math.max(
-      this.#heardTablesRevision,
+    this.#newestPeerTablesRevision = Math.max(
+      this.#newestPeerTablesRevision,
       revisions.tablesRevision,
     );
     const isBehind = revisions.tablesRevision > this.#getKnownRevision(now) &&
         !this.#tablesCollector.isCollecting() ||
       revisions.hostListRevision > this.#tables.getHostListRevision() &&
         !this.#hostsCollector.isCollecting();
-    if (isBehind) this.request(from, now);
+    if (isBehind) this.requestUpdates(from, now);
   }
 
   /** Asks a peer for what it holds that is newer, unless another was asked just now. */
-  request(to: string, now: Milliseconds): void {
+  requestUpdates(to: string, now: Milliseconds): void {
     if (now - this.#lastRequestAt < TABLES_REQUEST_INTERVAL_MS) return;
     this.#lastRequestAt = now;
     this.sendRequest(to, now);
@@ -201,7 +204,10 @@
     const known = this.#tables.getTablesRevision();
     if (chunk.position.revision <= known) return;
     const whole = this.#tablesCollector.addChunk(from, chunk, now);
-    this.#requestChunk(ChunkedTable.Tables, this.#tablesCollector.getNext());
+    this.#requestChunk(
+      ChunkedTable.Tables,
+      this.#tablesCollector.getNextChunk(),
+    );
     if (!whole) return;
     const result = this.#tables.offerTables({
       revision: whole.revision,
@@ -224,7 +230,10 @@
     const known = this.#tables.getHostListRevision();
     if (chunk.position.revision <= known) return;
     const whole = this.#hostsCollector.addChunk(from, chunk, now);
-    this.#requestChunk(ChunkedTable.HostList, this.#hostsCollector.getNext());
+    this.#requestChunk(
+      ChunkedTable.HostList,
+      this.#hostsCollector.getNextChunk(),
+    );
     if (!whole) return;
     const result = this.#tables.offerHostList({
       revision: whole.revision,
@@ -237,12 +246,12 @@
   tick(now: Milliseconds): void {
     this.#requestChunk(ChunkedTable.Tables, this.#tablesCollector.tick(now));
     this.#requestChunk(ChunkedTable.HostList, this.#hostsCollector.tick(now));
-    if (now - this.#lastServedAt >= CHUNKS_KEPT_MS) this.#sender.clear();
+    if (now - this.#lastServedAt >= CHUNK_TTL_MS) this.#chunkCache.clear();
   }
 
   /** Returns the revision held, or one that was rejected whole just now. */
   #getKnownRevision(now: Milliseconds): number {
-    const isRejectionFresh = now - this.#rejected.at < REJECTION_KEPT_MS;
+    const isRejectionFresh = now - this.#rejected.at < REJECTION_TTL_MS;
     return Math.max(
       this.#tables.getTablesRevision(),
       isRejectionFresh ? this.#rejected.revision : 0,
@@ -278,11 +287,11 @@
     now: Milliseconds,
   ): void {
     this.#lastServedAt = now;
-    const message = this.#sender.getChunk(table, revision, index);
+    const message = this.#chunkCache.getChunk(table, revision, index);
     if (message) this.#handlers.emit({ kind: "send", to, message });
   }
 
-  #requestChunk(table: ChunkedTable, wanted: WantedChunk | undefined): void {
+  #requestChunk(table: ChunkedTable, wanted: RequestedChunk | undefined): void {
     if (!wanted) return;
     const { from, revision, index } = wanted;
     this.#handlers.emit({
@@ -305,7 +314,7 @@
         this.#needsFull = true;
         break;
     }
-    this.request(from, now);
+    this.requestUpdates(from, now);
   }
 
   #finishTablesOffer(
@@ -318,7 +327,7 @@
     if (result.kind !== "accepted") return;
     this.#needsFull = false;
     this.#handlers.handleTablesAccepted(now);
-    if (source === RevisionSource.Domain || knownRevision === 0) return;
+    if (source === RevisionSource.LocalDomain || knownRevision === 0) return;
     const deltas = this.#tables.getTablesDeltasSince(knownRevision) ?? [];
     for (const delta of deltas) this.#handlers.publishTablesDelta(delta, now);
   }
@@ -333,7 +342,7 @@
     if (result.kind !== "accepted") return;
     this.#needsFull = false;
     this.#handlers.handleHostListAccepted(now);
-    if (source === RevisionSource.Domain || knownRevision === 0) return;
+    if (source === RevisionSource.LocalDomain || knownRevision === 0) return;
     const deltas = this.#tables.getHostListDeltasSince(knownRevision) ?? [];
     for (const delta of deltas) this.#handlers.publishHostListDelta(delta, now);
   }
--- a/src/core/tables/table_keeper.ts
+++ b/src/core/tables/table_keeper.ts
@@ -26,7 +26,7 @@
   /** The whole does not have the digest that was named. */
   | { kind: "digestMismatch" };
 
-export class TableKeeper {
+export class TableReplica {
   readonly #tablesLog = new DeltaLog<TablesDelta>(countTableRows);
   readonly #hostListLog = new DeltaLog<HostListDelta>(countHosts);
   #snapshot: TableSnapshot | undefined;
@@ -88,7 +88,7 @@
 
   /** Takes the tables that the delta leads to, if it fits those in force. */
   offerTablesDelta(delta: TablesDelta): OfferResult {
-    const misfit = findMisfit(delta, this.getTablesRevision());
+    const misfit = checkRevisionSpan(delta, this.getTablesRevision());
     return misfit ?? this.#applyTablesDelta(delta, delta.digest);
   }
 
@@ -133,7 +133,7 @@
 
   /** Takes the host list that the delta leads to, if it fits the one in force. */
   offerHostListDelta(delta: HostListDelta): OfferResult {
-    const misfit = findMisfit(delta, this.getHostListRevision());
+    const misfit = checkRevisionSpan(delta, this.getHostListRevision());
     if (misfit) return misfit;
     if (!this.#hostList) return { kind: "gap" };
     const next = this.#hostList.apply(delta);
@@ -145,7 +145,7 @@
 }
 
 /** Returns why the delta does not lead on from the revision, or undefined when it does. */
-function findMisfit(
+function checkRevisionSpan(
   delta: RevisionSpan,
   revision: number,
 ): OfferResult | undefined {
--- a/src/core/tables/table_schema.ts
+++ b/src/core/tables/table_schema.ts
@@ -85,7 +85,7 @@
 ): Result<TablesStructure, TableFault[]> {
   const parsed = TABLES.safeParse(value);
   if (!parsed.success) return Err(listIssues(value, parsed.error));
-  const faults = findJoinFaults(parsed.data);
+  const faults = findIntegrityFaults(parsed.data);
   return faults.length > 0 ? Err(faults) : Ok(parsed.data);
 }
 
@@ -109,19 +109,19 @@
       parsed.data.customers.length > 0 ? next.getCustomers() : [],
     ),
     ...findPoolFaults(parsed.data.pools),
-    ...findRouteFaults(selectJoinedRoutes(next, parsed.data), next),
+    ...findRouteFaults(selectAffectedRoutes(next, parsed.data), next),
   ];
   return faults.length > 0 ? Err(faults) : Ok(next);
 }
 
 /** Returns the routes whose joins the delta may have broken. */
-function selectJoinedRoutes(
+function selectAffectedRoutes(
   next: TableSnapshot,
   delta: TablesDelta,
 ): readonly RouteStructure[] {
-  const hasJoinChanged = delta.pools.length > 0 ||
+  const haveReferencesChanged = delta.pools.length > 0 ||
     delta.removedPools.length > 0 || delta.removedCustomers.length > 0;
-  return hasJoinChanged ? next.getRoutes() : delta.routes;
+  return haveReferencesChanged ? next.getRoutes() : delta.routes;
 }
 
 function listIssues(value: unknown, error: z.ZodError): TableFault[] {
@@ -135,12 +135,12 @@
 }
 
 /** Rows by name, to follow the joins of routes. */
-interface JoinedRows {
+interface ReferencedRows {
   getPool(name: string): PoolStructure | undefined;
   getCustomer(name: string): CustomerStructure | undefined;
 }
 
-function findJoinFaults(tables: TablesStructure): TableFault[] {
+function findIntegrityFaults(tables: TablesStructure): TableFault[] {
   const pools = new Map(tables.pools.map((pool) => [pool.name, pool]));
   const customers = new Map(
     tables.customers.map((customer) => [customer.name, customer]),
@@ -173,7 +173,7 @@
 
 function findRouteFaults(
   routes: readonly RouteStructure[],
-  rows: JoinedRows,
+  rows: ReferencedRows,
 ): TableFault[] {
   const faults: TableFault[] = [];
   for (const [index, route] of routes.entries()) {
@@ -239,19 +239,19 @@
 function findSharedTokens(
   customers: readonly CustomerStructure[],
 ): TableFault[] {
-  const holders = new Map<string, string>();
+  const customersByDigest = new Map<string, string>();
   const faults: TableFault[] = [];
   for (const [index, customer] of customers.entries()) {
     for (const digest of customer.tokenDigests) {
-      const holder = holders.get(digest);
-      if (holder !== undefined && holder !== customer.name) {
+      const otherCustomer = customersByDigest.get(digest);
+      if (otherCustomer !== undefined && otherCustomer !== customer.name) {
         faults.push({
           path: ["customers", index, "tokenDigests"],
           expected: "a token that no other customer holds",
-          found: `the digest of a token of ${holder}`,
+          found: `the digest of a token of ${otherCustomer}`,
         });
       }
-      holders.set(digest, customer.name);
+      customersByDigest.set(digest, customer.name);
     }
   }
   return faults;
--- a/src/daemon/upstream_task.ts
+++ b/src/daemon/upstream_task.ts
@@ -336,7 +336,7 @@
           kind: "upstreamStateUnread",
           upstreamId,
           readId,
-          isRefused: state.isRefused,
+          isConnectionRefused: state.isRefused,
         }
         : { kind: "upstreamStateRead", upstreamId, readId, state },
     );
--- a/test/core/execution/attempt_examiner_test.ts
+++ b/test/core/execution/attempt_examiner_test.ts
@@ -1,11 +1,11 @@
 /** An upstream that died is known to have died, also when the first reading after its death is lost. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { LoneDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../lone_daemon.ts";
 
 for (const lostReadings of [0, 1, 2]) {
   test(`a crashing request stops after 2 upstreams with ${lostReadings} readings lost at each`, () => {
-    const daemon = new LoneDaemon(["engine-1", "engine-2", "engine-3"]);
+    const daemon = new SingleDaemon(["engine-1", "engine-2", "engine-3"]);
     const requestId = daemon.request("briefing");
     for (let crashes = 0; crashes < 3; crashes += 1) {
       daemon.advance(2_000);
@@ -28,7 +28,7 @@
 }
 
 test("an upstream that never answers is not taken for dead", () => {
-  const daemon = new LoneDaemon(["engine-1", "engine-2"]);
+  const daemon = new SingleDaemon(["engine-1", "engine-2"]);
   const requestId = daemon.request("briefing");
   daemon.advance(500);
   const [dispatch] = daemon.getDispatches(requestId);
--- a/test/core/execution/attempt_runner_test.ts
+++ b/test/core/execution/attempt_runner_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { StrikeDigest } from "../../../src/core/messages.ts";
-import { LoneDaemon, PEER_DOMAIN } from "../lone_daemon.ts";
+import { PEER_DOMAIN, SingleDaemon } from "../lone_daemon.ts";
 
 const PEER = "entry-2";
 /** Far more than an engine's owner lets run beside each other. */
@@ -10,11 +10,11 @@
 
 /** Returns the runs of a full engine, and a request that waits for one to end. */
 function startFullEngine(): {
-  daemon: LoneDaemon;
+  daemon: SingleDaemon;
   running: string[];
   waiting: string;
 } {
-  const daemon = new LoneDaemon(["engine-1"], [PEER]);
+  const daemon = new SingleDaemon(["engine-1"], [PEER]);
   const running: string[] = [];
   for (let index = 0; index < MANY; index += 1) {
     const id = daemon.request("briefing");
@@ -27,7 +27,7 @@
   throw new Error(`expected a full engine, actual ${MANY} runs beside others`);
 }
 
-function sendStrikes(daemon: LoneDaemon, strikes: number): void {
+function sendStrikes(daemon: SingleDaemon, strikes: number): void {
   const digest: StrikeDigest = {
     fingerprint: "f1",
     strikes,
@@ -53,7 +53,7 @@
   });
 }
 
-function endRun(daemon: LoneDaemon, requestId: string): void {
+function endRun(daemon: SingleDaemon, requestId: string): void {
   const [dispatch] = daemon.getDispatches(requestId);
   assert.ok(dispatch);
   daemon.endAttempt(dispatch.attemptId, {
--- a/test/core/execution/lease_book_test.ts
+++ b/test/core/execution/lease_book_test.ts
@@ -14,7 +14,7 @@
   PoolStructure,
   RouteStructure,
 } from "../../../src/core/structures.ts";
-import { TableKeeper } from "../../../src/core/tables/table_keeper.ts";
+import { TableReplica } from "../../../src/core/tables/table_keeper.ts";
 import { TicketIssuer } from "../../../src/core/execution/ticket_book.ts";
 
 const UPSTREAM = "engine-1";
@@ -70,7 +70,7 @@
     failureDomain: "a",
     settings: DEFAULT_CORE_SETTINGS,
     policy: DEFAULT_CORE_POLICY,
-    tables: new TableKeeper(),
+    tables: new TableReplica(),
     membership,
     quarantine: new CrashQuarantine(DEFAULT_CORE_SETTINGS),
     publishStrikes: () => {},
--- a/test/core/execution/outcome_test.ts
+++ b/test/core/execution/outcome_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { AttemptResult } from "../../../src/core/outcomes.ts";
-import { LoneDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../lone_daemon.ts";
 
 /** How a first attempt ends, and what may be said when no other upstream is left. */
 const FIRST_ATTEMPTS: { result: AttemptResult; outcome: string }[] = [
@@ -19,7 +19,7 @@
 
 for (const { result, outcome } of FIRST_ATTEMPTS) {
   test(`a request that is refused after an attempt that was ${result.kind} is ${outcome}`, () => {
-    const daemon = new LoneDaemon(["engine-1"]);
+    const daemon = new SingleDaemon(["engine-1"]);
     const requestId = daemon.request("briefing");
     daemon.advance(500);
     const [dispatch] = daemon.getDispatches(requestId);
@@ -33,7 +33,7 @@
 }
 
 test("a call with a ticket is uncertain until the ticket's home has answered", () => {
-  const daemon = new LoneDaemon(["engine-1"]);
+  const daemon = new SingleDaemon(["engine-1"]);
   const ticket = daemon.getRefusal(daemon.request("order"))?.ticket ?? "";
   assert.is.not(ticket, "");
   daemon.handle({ kind: "stopRequested" });
@@ -44,7 +44,7 @@
 });
 
 test("a caller that leaves before the ticket's home has answered gets an uncertain outcome", () => {
-  const daemon = new LoneDaemon(["engine-1"], ["entry-2"]);
+  const daemon = new SingleDaemon(["engine-1"], ["entry-2"]);
   const ticket = "entry-2~i1~1~check";
   const requestId = daemon.request("order", { ticket });
   assert.is(daemon.getRefusal(requestId), undefined, "the claim is under way");
--- a/test/core/lone_daemon.ts
+++ b/test/core/lone_daemon.ts
@@ -21,7 +21,7 @@
 export const PEER_DOMAIN = "huon-b";
 export const ENTRY_ID = "entry-1";
 
-export class LoneDaemon {
+export class SingleDaemon {
   readonly core: DaemonCore;
   readonly effects: Effect[] = [];
   /** What each upstream reports; those left out refuse connections. */
@@ -29,7 +29,7 @@
   /** Examinations of lost attempts, from now on, whose reading gets no answer. */
   lostExaminations = 0;
   now = 0;
-  #lastRequest = 0;
+  #lastRequestNumber = 0;
 
   constructor(
     upstreamIds: readonly string[],
@@ -72,8 +72,8 @@
 
   /** Sends a request and returns its identifier. */
   request(route: string, options: { ticket?: string } = {}): string {
-    this.#lastRequest += 1;
-    const requestId = `request-${this.#lastRequest}`;
+    this.#lastRequestNumber += 1;
+    const requestId = `request-${this.#lastRequestNumber}`;
     this.handle({
       kind: "requestArrived",
       requestId,
@@ -119,7 +119,7 @@
         kind: "upstreamStateUnread",
         upstreamId,
         readId,
-        isRefused,
+        isConnectionRefused: isRefused,
       });
       return;
     }
@@ -136,7 +136,7 @@
           kind: "upstreamStateUnread",
           upstreamId,
           readId,
-          isRefused: true,
+          isConnectionRefused: true,
         },
     );
   }
--- a/test/core/residency/pending_orders_test.ts
+++ b/test/core/residency/pending_orders_test.ts
@@ -1,10 +1,10 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { DEFAULT_CORE_SETTINGS } from "../../../src/core/core_settings.ts";
-import { LoneDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../lone_daemon.ts";
 
 test("an order expires before another daemon could own the upstream", () => {
-  const daemon = new LoneDaemon(["engine-1"]);
+  const daemon = new SingleDaemon(["engine-1"]);
   const before = daemon.effects.length;
   daemon.request("briefing");
   const orders = daemon.effects.slice(before)
--- a/test/core/residency/unleased_runs_test.ts
+++ b/test/core/residency/unleased_runs_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { LoneDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../lone_daemon.ts";
 
 /**
  * Time after which an owner that has seen no sign of another owner may evict.
@@ -8,7 +8,7 @@
 const LONG_AGO_MS = 120_000;
 
 test("runs without a lease of the owner delay evictions where fencing is ignored", () => {
-  const daemon = new LoneDaemon(["engine-1"]);
+  const daemon = new SingleDaemon(["engine-1"]);
   const state = daemon.states.get("engine-1");
   state?.residents.push({ adapterKey: "other@v1", inFlight: 0 });
   daemon.advance(LONG_AGO_MS);
@@ -19,7 +19,7 @@
   assert.ok(getWaitMs(daemon) > 0);
 });
 
-function getWaitMs(daemon: LoneDaemon): number {
+function getWaitMs(daemon: SingleDaemon): number {
   const [upstream] = daemon.core.describe(daemon.now).upstreams;
   return upstream?.evictionAllowedInMs ?? -1;
 }
--- a/test/core/tables/table_delta_test.ts
+++ b/test/core/tables/table_delta_test.ts
@@ -14,7 +14,7 @@
   RevisionSource,
   TableExchange,
 } from "../../../src/core/tables/table_exchange.ts";
-import { TableKeeper } from "../../../src/core/tables/table_keeper.ts";
+import { TableReplica } from "../../../src/core/tables/table_keeper.ts";
 import { TableSnapshot } from "../../../src/core/tables/table_snapshot.ts";
 
 const SIZES = {
@@ -25,8 +25,8 @@
   routes: 20,
 };
 
-function createKeeper(tables: TablesStructure): TableKeeper {
-  const keeper = new TableKeeper();
+function createReplica(tables: TablesStructure): TableReplica {
+  const keeper = new TableReplica();
   assert.equal(keeper.offerTables(tables), { kind: "accepted" });
   return keeper;
 }
@@ -38,13 +38,13 @@
 
 /** Two daemons' exchanges, each of which gets what the other sends. */
 class ExchangePair {
-  readonly keepers = [new TableKeeper(), new TableKeeper()] as const;
+  readonly replicas = [new TableReplica(), new TableReplica()] as const;
   readonly exchanges: readonly [TableExchange, TableExchange];
   readonly published: TablesDelta[] = [];
   readonly sent: PeerMessage[] = [];
   now = 0;
   /** Changes a message on its way; undefined loses it. */
-  transit: (message: PeerMessage) => PeerMessage | undefined = (message) =>
+  intercept: (message: PeerMessage) => PeerMessage | undefined = (message) =>
     message;
 
   constructor() {
@@ -52,10 +52,10 @@
   }
 
   /** Lets the second daemon hear of what the first holds. */
-  tell(): void {
+  announceRevisions(): void {
     this.exchanges[1].handlePeerRevisions("0", {
-      tablesRevision: this.keepers[0].getTablesRevision(),
-      hostListRevision: this.keepers[0].getHostListRevision(),
+      tablesRevision: this.replicas[0].getTablesRevision(),
+      hostListRevision: this.replicas[0].getHostListRevision(),
     }, this.now);
   }
 
@@ -63,16 +63,16 @@
     for (let passed = 0; passed < ms; passed += 100) {
       this.now += 100;
       for (const exchange of this.exchanges) exchange.tick(this.now);
-      this.tell();
+      this.announceRevisions();
     }
   }
 
   #createExchange(index: 0 | 1): TableExchange {
-    return new TableExchange(this.keepers[index], {
+    return new TableExchange(this.replicas[index], {
       emit: (effect: Effect) => {
         if (effect.kind !== "send") return;
         this.sent.push(effect.message);
-        const message = this.transit(effect.message);
+        const message = this.intercept(effect.message);
         if (message) this.#deliver(index === 0 ? 1 : 0, message);
       },
       handleTablesAccepted: () => {},
@@ -85,7 +85,7 @@
   #deliver(to: 0 | 1, message: PeerMessage): void {
     const from = to === 0 ? "1" : "0";
     const exchange = this.exchanges[to];
-    const source = RevisionSource.Domain;
+    const source = RevisionSource.LocalDomain;
     switch (message.kind) {
       case "tablesRequest":
         return exchange.handleRequest(from, message, this.now);
@@ -112,7 +112,7 @@
     pools: first.pools.map((pool) => ({ ...pool, batchSize: 16 })),
   };
   second.routes = second.routes.slice(0, 15).concat(createRoute(99, 2, "v1"));
-  const keeper = createKeeper(first);
+  const keeper = createReplica(first);
   assert.equal(keeper.offerTablesDelta(findDelta(first, second)), {
     kind: "accepted",
   });
@@ -135,7 +135,7 @@
     TablesStructure,
     TablesStructure,
   ];
-  const keeper = createKeeper(r2);
+  const keeper = createReplica(r2);
   const cases: [TablesDelta, string, number][] = [
     [findDelta(r4, r5), "gap", 2],
     [findDelta(r2, r3), "accepted", 3],
@@ -152,7 +152,7 @@
 
 test("changes that the platform publishes never lead back, nor over a gap", () => {
   const first = createTables(SIZES, 5);
-  const keeper = createKeeper(first);
+  const keeper = createReplica(first);
   const spans: [number, number, string][] = [
     [5, 4, "stale"],
     [5, 5, "stale"],
@@ -177,33 +177,34 @@
   const first = createTables(SIZES, 2);
   const changed = editTables(first, 1);
   const reverted = { ...first, revision: 4 };
-  const keeper = createKeeper(changed);
+  const keeper = createReplica(changed);
   const result = keeper.offerTablesDelta(findDelta(first, reverted));
   assert.is(result.kind, "digestMismatch");
   assert.is(keeper.getTablesRevision(), 3);
   assert.is(keeper.getSnapshot()?.getRouteByName("route-1")?.version, "v3");
 });
 
-const INVALID: [string, (delta: TablesDelta) => Partial<TablesDelta>][] = [
-  ["a route without its pool", () => ({ removedPools: ["pool-0"] })],
-  ["a route without its customer", () => ({ removedCustomers: ["derwent"] })],
-  ["a route to an unknown pool", (delta) => ({
-    routes: delta.routes.map((route) => ({ ...route, pool: "absent" })),
-  })],
-  ["a malformed name", (delta) => ({
-    routes: delta.routes.map((route) => ({ ...route, name: "no name" })),
-  })],
-  ["a torn delta", (delta) => ({ routes: delta.routes.slice(1) })],
-  ["a wrong digest", () => ({ digest: "0".repeat(16) })],
-];
+const INVALID_DELTAS: [string, (delta: TablesDelta) => Partial<TablesDelta>][] =
+  [
+    ["a route without its pool", () => ({ removedPools: ["pool-0"] })],
+    ["a route without its customer", () => ({ removedCustomers: ["derwent"] })],
+    ["a route to an unknown pool", (delta) => ({
+      routes: delta.routes.map((route) => ({ ...route, pool: "absent" })),
+    })],
+    ["a malformed name", (delta) => ({
+      routes: delta.routes.map((route) => ({ ...route, name: "no name" })),
+    })],
+    ["a torn delta", (delta) => ({ routes: delta.routes.slice(1) })],
+    ["a wrong digest", () => ({ digest: "0".repeat(16) })],
+  ];
 
-for (const [what, spoil] of INVALID) {
+for (const [what, corrupt] of INVALID_DELTAS) {
   test(`a delta with ${what} is rejected whole`, () => {
     const first = createTables(SIZES, 2);
-    const keeper = createKeeper(first);
+    const keeper = createReplica(first);
     const digest = keeper.getSnapshot()?.digest;
     const delta = findDelta(first, editTables(first, 2));
-    const result = keeper.offerTablesDelta({ ...delta, ...spoil(delta) });
+    const result = keeper.offerTablesDelta({ ...delta, ...corrupt(delta) });
     assert.ok(["invalid", "digestMismatch"].includes(result.kind), result.kind);
     assert.is(keeper.getTablesRevision(), 2);
     assert.is(keeper.getSnapshot()?.digest, digest);
@@ -238,7 +239,7 @@
   const sizes = { ...SIZES, routes: 4_000 };
   pair.exchanges[0].offerTables(createTables(sizes, 2), 0);
   pair.advance(1_000);
-  assert.is(pair.keepers[1].getTablesRevision(), 2);
+  assert.is(pair.replicas[1].getTablesRevision(), 2);
   const chunks = pair.sent.filter((message) => message.kind === "tablesChunk");
   assert.ok(chunks.length > 1);
   for (const chunk of chunks) {
@@ -252,7 +253,7 @@
   }
   assert.is(pair.published.length, 3);
   pair.advance(1_000);
-  assert.is(pair.keepers[1].getTablesRevision(), 5);
+  assert.is(pair.replicas[1].getTablesRevision(), 5);
   assert.is(
     pair.sent.some((message) => message.kind === "tablesChunk"),
     false,
@@ -264,7 +265,7 @@
   const tables = createTables({ ...SIZES, routes: 4_000 }, 2);
   pair.exchanges[0].offerTables(tables, 0);
   let chunks = 0;
-  pair.transit = (message) => {
+  pair.intercept = (message) => {
     if (message.kind !== "tablesChunk") return message;
     chunks += 1;
     if (chunks === 2) return undefined;
@@ -273,10 +274,10 @@
       : message;
   };
   pair.advance(8_000);
-  assert.is(pair.keepers[1].getTablesRevision(), 2);
+  assert.is(pair.replicas[1].getTablesRevision(), 2);
   assert.is(
-    pair.keepers[1].getSnapshot()?.digest,
-    pair.keepers[0].getSnapshot()?.digest,
+    pair.replicas[1].getSnapshot()?.digest,
+    pair.replicas[0].getSnapshot()?.digest,
   );
 });
 
@@ -286,7 +287,7 @@
   pair.exchanges[0].offerTables(tables, 0);
   pair.advance(500);
   pair.exchanges[0].offerTables(editTables(tables, 1), pair.now);
-  pair.transit = (message) =>
+  pair.intercept = (message) =>
     message.kind === "tablesTransfer"
       ? {
         ...message,
@@ -297,7 +298,7 @@
       }
       : message;
   pair.advance(2_000);
-  assert.is(pair.keepers[1].getTablesRevision(), 3);
+  assert.is(pair.replicas[1].getTablesRevision(), 3);
 });
 
 test("the host list moves by deltas too", () => {
@@ -312,14 +313,14 @@
   } as const;
   pair.exchanges[0].offerHostList({ revision: 1, hosts: [host] }, 0);
   pair.advance(500);
-  assert.is(pair.keepers[1].getHostListRevision(), 1);
+  assert.is(pair.replicas[1].getHostListRevision(), 1);
   pair.exchanges[0].offerHostList({
     revision: 2,
     hosts: [{ ...host, id: "entry-2" }],
   }, pair.now);
   pair.sent.length = 0;
   pair.advance(500);
-  assert.is(pair.keepers[1].getHostList()?.getHosts()[0]?.id, "entry-2");
+  assert.is(pair.replicas[1].getHostList()?.getHosts()[0]?.id, "entry-2");
   assert.is(
     pair.sent.some((message) => message.kind === "hostListChunk"),
     false,
--- a/test/core/tables/table_keeper_test.ts
+++ b/test/core/tables/table_keeper_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import type { TablesStructure } from "../../../src/core/structures.ts";
 import { checkTables } from "../../../src/core/tables/table_schema.ts";
-import { TableKeeper } from "../../../src/core/tables/table_keeper.ts";
+import { TableReplica } from "../../../src/core/tables/table_keeper.ts";
 
 const DIGEST = "a".repeat(64);
 
@@ -27,13 +27,13 @@
 }
 
 test("takes a newer revision", () => {
-  const keeper = new TableKeeper();
+  const keeper = new TableReplica();
   assert.equal(keeper.offerTables(createTables(2)), { kind: "accepted" });
   assert.is(keeper.getTablesRevision(), 2);
 });
 
 test("never goes back by a published delta", () => {
-  const keeper = new TableKeeper();
+  const keeper = new TableReplica();
   keeper.offerTables(createTables(5));
   const unchanged = {
     digest: "",
@@ -53,7 +53,7 @@
 });
 
 test("never goes back to an older or equal revision", () => {
-  const keeper = new TableKeeper();
+  const keeper = new TableReplica();
   keeper.offerTables(createTables(5));
   for (const revision of [5, 4, 1]) {
     assert.equal(keeper.offerTables(createTables(revision)), { kind: "stale" });
@@ -62,7 +62,7 @@
 });
 
 test("rejects an invalid revision whole and keeps the last good one", () => {
-  const keeper = new TableKeeper();
+  const keeper = new TableReplica();
   keeper.offerTables(createTables(2));
   const invalid = createTables(3);
   invalid.pools = [];
@@ -72,7 +72,7 @@
 });
 
 test("shows a route to its own customer only", () => {
-  const keeper = new TableKeeper();
+  const keeper = new TableReplica();
   keeper.offerTables(createTables(2));
   assert.is(keeper.getSnapshot()?.getRoute("briefing", "solljus"), undefined);
   assert.is(keeper.getSnapshot()?.getRoute("absent", "derwent"), undefined);
--- a/test/fuzz/upstream_client.ts
+++ b/test/fuzz/upstream_client.ts
@@ -91,7 +91,7 @@
         kind: "upstreamStateUnread",
         upstreamId,
         readId,
-        isRefused,
+        isConnectionRefused: isRefused,
       });
     };
     this.#daemon.runLocal(STATE_TIMEOUT_MS, () => fail(false));
