--- a/bench/start/start_command.ts
+++ b/bench/start/start_command.ts
@@ -186,7 +186,7 @@
 ): number {
   const fileSet = new TableFileSet();
   for (const file of files) fileSet.parseFile(file);
-  fileSet.setRead(files, 2);
+  fileSet.setBaseline(files, 2);
   const edited = createFiles(editTables(source, 1)).map((file) => ({
     ...file,
     text: Buffer.from(file.text).toString(),
--- a/src/charts/chart.ts
+++ b/src/charts/chart.ts
@@ -5,7 +5,10 @@
 import { createMachine, getInitialSnapshot, transition } from "xstate";
 
 /** A flat chart: for each state, the events it takes and where each leads. */
-export interface ChartStructure<State extends string, Trigger extends string> {
+export interface StateChartDefinition<
+  State extends string,
+  Trigger extends string,
+> {
   id: string;
   initial: State;
   states: Record<
@@ -15,28 +18,31 @@
 }
 
 /** Looks up the transitions of one chart. */
-export class Chart<State extends string, Trigger extends string> {
+export class StateChart<State extends string, Trigger extends string> {
   readonly initial: State;
   readonly #id: string;
-  readonly #table = new Map<string, State>();
+  readonly #transitions = new Map<string, State>();
 
-  constructor(structure: ChartStructure<State, Trigger>) {
-    this.#id = structure.id;
-    this.initial = structure.initial;
-    for (const state of Object.keys(structure.states) as State[]) {
-      const machine = createMachine({ ...structure, initial: state });
+  constructor(definition: StateChartDefinition<State, Trigger>) {
+    this.#id = definition.id;
+    this.initial = definition.initial;
+    for (const state of Object.keys(definition.states) as State[]) {
+      const machine = createMachine({ ...definition, initial: state });
       const start = getInitialSnapshot(machine);
-      const triggers = Object.keys(structure.states[state].on) as Trigger[];
+      const triggers = Object.keys(definition.states[state].on) as Trigger[];
       for (const trigger of triggers) {
         const [next] = transition(machine, start, { type: trigger });
-        this.#table.set(createTableKey(state, trigger), next.value as State);
+        this.#transitions.set(
+          createTransitionKey(state, trigger),
+          next.value as State,
+        );
       }
     }
   }
 
   /** Returns the state that the trigger leads to, or undefined when the state does not take it. */
   getNext(state: State, trigger: Trigger): State | undefined {
-    return this.#table.get(createTableKey(state, trigger));
+    return this.#transitions.get(createTransitionKey(state, trigger));
   }
 
   getNextOrThrow(state: State, trigger: Trigger): State {
@@ -48,6 +54,6 @@
   }
 }
 
-function createTableKey(state: string, trigger: string): string {
+function createTransitionKey(state: string, trigger: string): string {
   return `${state}\u0000${trigger}`;
 }
--- a/src/charts/daemon_chart.ts
+++ b/src/charts/daemon_chart.ts
@@ -1,10 +1,10 @@
 /** Life of a daemon, from its start to its stop. */
-import { Chart, type ChartStructure } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./chart.ts";
 
 export type DaemonState = "starting" | "serving" | "stopping" | "stopped";
 export type DaemonTrigger = "tablesInForce" | "stopRequested" | "drained";
 
-const DAEMON_CHART: ChartStructure<DaemonState, DaemonTrigger> = {
+const DAEMON_CHART: StateChartDefinition<DaemonState, DaemonTrigger> = {
   id: "daemon",
   initial: "starting",
   states: {
@@ -20,6 +20,7 @@
   },
 };
 
-export const daemonChart: Chart<DaemonState, DaemonTrigger> = new Chart(
-  DAEMON_CHART,
-);
+export const daemonChart: StateChart<DaemonState, DaemonTrigger> =
+  new StateChart(
+    DAEMON_CHART,
+  );
--- a/src/charts/owner_chart.ts
+++ b/src/charts/owner_chart.ts
@@ -1,5 +1,5 @@
 /** Life of the ownership of one upstream in one daemon. */
-import { Chart, type ChartStructure } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./chart.ts";
 
 export type OwnerState = "reading" | "claiming" | "owning" | "deposed";
 export type OwnerTrigger =
@@ -10,7 +10,7 @@
   | "upstreamRestarted"
   | "retryDue";
 
-const OWNER_CHART: ChartStructure<OwnerState, OwnerTrigger> = {
+const OWNER_CHART: StateChartDefinition<OwnerState, OwnerTrigger> = {
   id: "owner",
   initial: "reading",
   states: {
@@ -32,6 +32,6 @@
   },
 };
 
-export const ownerChart: Chart<OwnerState, OwnerTrigger> = new Chart(
+export const ownerChart: StateChart<OwnerState, OwnerTrigger> = new StateChart(
   OWNER_CHART,
 );
--- a/src/charts/request_chart.ts
+++ b/src/charts/request_chart.ts
@@ -1,5 +1,5 @@
 /** Life of a request in its entry daemon. */
-import { Chart, type ChartStructure } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./chart.ts";
 
 export type RequestState =
   | "claimingTicket"
@@ -17,7 +17,7 @@
   | "upstreamSuspected"
   | "finished";
 
-const REQUEST_CHART: ChartStructure<RequestState, RequestTrigger> = {
+const REQUEST_CHART: StateChartDefinition<RequestState, RequestTrigger> = {
   id: "request",
   initial: "unassigned",
   states: {
@@ -54,6 +54,7 @@
   },
 };
 
-export const requestChart: Chart<RequestState, RequestTrigger> = new Chart(
-  REQUEST_CHART,
-);
+export const requestChart: StateChart<RequestState, RequestTrigger> =
+  new StateChart(
+    REQUEST_CHART,
+  );
--- a/src/charts/slot_chart.ts
+++ b/src/charts/slot_chart.ts
@@ -1,5 +1,5 @@
 /** Life of an adapter slot, as its upstream's owner sees it. */
-import { Chart, type ChartStructure } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./chart.ts";
 
 export type SlotState =
   | "loading"
@@ -16,7 +16,7 @@
   | "seenAbsent"
   | "upstreamRestarted";
 
-const SLOT_CHART: ChartStructure<SlotState, SlotTrigger> = {
+const SLOT_CHART: StateChartDefinition<SlotState, SlotTrigger> = {
   id: "slot",
   initial: "loading",
   states: {
@@ -54,4 +54,6 @@
   },
 };
 
-export const slotChart: Chart<SlotState, SlotTrigger> = new Chart(SLOT_CHART);
+export const slotChart: StateChart<SlotState, SlotTrigger> = new StateChart(
+  SLOT_CHART,
+);
--- a/src/cli/check_commands.ts
+++ b/src/cli/check_commands.ts
@@ -8,7 +8,7 @@
 import { ExitCode } from "./exit_codes.ts";
 
 /** Revision under which files are checked that have none yet. */
-const CHECKED_REVISION = 1;
+const PLACEHOLDER_REVISION = 1;
 
 /** Checks table files together; returns the exit code. */
 export function checkTableFiles(
@@ -21,7 +21,7 @@
     if (text === undefined) return ExitCode.FaultsFound;
     files.push({ name, text });
   }
-  const tables = parseTables(files, CHECKED_REVISION);
+  const tables = parseTables(files, PLACEHOLDER_REVISION);
   if (tables.isErr()) return reportFaults(tables.error, isJson);
   const { customers, routes, pools } = tables.value;
   const counts = {
@@ -35,7 +35,7 @@
       `Valid: ${counts.customers} customers, ${counts.routes} routes, ${counts.pools} pools`,
     );
   }
-  return ExitCode.Done;
+  return ExitCode.Success;
 }
 
 /** Checks a daemon's settings file; returns the exit code. */
@@ -54,7 +54,7 @@
 function checkFile<Schema extends z.ZodType>(
   name: string,
   schema: Schema,
-  getHost: (value: z.infer<Schema>) => string,
+  getName: (value: z.infer<Schema>) => string,
   isJson: boolean,
 ): ExitCode {
   const text = readTextOrReport(name);
@@ -66,8 +66,8 @@
   }
   if (isJson) {
     console.log(JSON.stringify({ valid: true, settings: settings.value }));
-  } else console.log(`Valid: settings of ${getHost(settings.value)}`);
-  return ExitCode.Done;
+  } else console.log(`Valid: settings of ${getName(settings.value)}`);
+  return ExitCode.Success;
 }
 
 function reportFaults(
@@ -81,10 +81,10 @@
 
 function printFaults(faults: readonly TableFileFault[]): void {
   for (const fault of faults) {
-    const place = [`${fault.file}:${fault.line}`, fault.path]
+    const location = [`${fault.file}:${fault.line}`, fault.path]
       .filter((part) => part !== "").join(": ");
     console.error(
-      `${place}: expected ${fault.expected}, found ${fault.found}`,
+      `${location}: expected ${fault.expected}, found ${fault.found}`,
     );
   }
 }
--- a/src/cli/daemon_commands.ts
+++ b/src/cli/daemon_commands.ts
@@ -5,9 +5,9 @@
 import { ExitCode } from "./exit_codes.ts";
 import { fetchFromDaemon } from "./operator_client.ts";
 
-export type StatusAnswer = DaemonDescription & { metrics: MetricsSnapshot };
+export type StatusResponse = DaemonDescription & { metrics: MetricsSnapshot };
 
-interface ExplainAnswer {
+interface ExplainResponse {
   route: string;
   upstreams: { id: string; owner: string; residency: string; cost: number }[];
 }
@@ -17,12 +17,12 @@
   address: string,
   isJson: boolean,
 ): Promise<ExitCode> {
-  const status = await fetchFromDaemon<StatusAnswer>(address, "/status");
+  const status = await fetchFromDaemon<StatusResponse>(address, "/status");
   if (status.isErr()) return reportError(status.error);
   console.log(
     isJson ? JSON.stringify(status.value) : formatStatus(status.value),
   );
-  return ExitCode.Done;
+  return ExitCode.Success;
 }
 
 /** Prints the routes in force; returns the exit code. */
@@ -49,7 +49,7 @@
       );
     }
   }
-  return ExitCode.Done;
+  return ExitCode.Success;
 }
 
 /** Prints how the upstreams rank for a route; returns the exit code. */
@@ -58,14 +58,14 @@
   route: string,
   isJson: boolean,
 ): Promise<ExitCode> {
-  const answer = await fetchFromDaemon<ExplainAnswer>(
+  const answer = await fetchFromDaemon<ExplainResponse>(
     address,
     `/explain/${encodeURIComponent(route)}`,
   );
   if (answer.isErr()) return reportError(answer.error);
   if (isJson) {
     console.log(JSON.stringify(answer.value));
-    return ExitCode.Done;
+    return ExitCode.Success;
   }
   if (answer.value.upstreams.length === 0) {
     return reportError(`No upstream stands ready for route ${route}`);
@@ -77,11 +77,11 @@
       }  owner ${upstream.owner}`,
     );
   }
-  return ExitCode.Done;
+  return ExitCode.Success;
 }
 
 /** Formats a status for reading. */
-export function formatStatus(status: StatusAnswer): string {
+export function formatStatus(status: StatusResponse): string {
   return [
     `${status.id} (${status.failureDomain}) is ${status.state}; tables revision ${status.tablesRevision}, host list revision ${status.hostListRevision}`,
     `requests ${status.execution.requests}, attempts ${status.execution.attempts}, held credits ${status.execution.heldCredits}, tickets ${status.tickets}`,
@@ -92,7 +92,7 @@
     ),
     ...formatSection(
       "refused and retried since the start",
-      formatReasons(status.metrics),
+      formatRefusalCounters(status.metrics),
     ),
   ].join("\n");
 }
@@ -101,23 +101,25 @@
   return [`${title}:${lines.length === 0 ? " none" : ""}`, ...lines];
 }
 
-function formatPeer(peer: StatusAnswer["peers"][number]): string {
-  const life = peer.live ? "live" : "silent";
+function formatPeer(peer: StatusResponse["peers"][number]): string {
+  const liveness = peer.live ? "live" : "silent";
   const leaving = peer.leaving ? ", leaving" : "";
-  return `  ${peer.id} (${peer.failureDomain}) ${life}${leaving}, tables revision ${peer.tablesRevision}`;
+  return `  ${peer.id} (${peer.failureDomain}) ${liveness}${leaving}, tables revision ${peer.tablesRevision}`;
 }
 
-function formatUpstream(upstream: StatusAnswer["upstreams"][number]): string[] {
-  const life = upstream.up ? "up" : "down";
-  const head =
-    `  ${upstream.upstreamId} ${upstream.state}, ${life}, credits ${upstream.creditsInUse}/${upstream.batchSize}, leases ${upstream.leases.length}, waiting ${upstream.waiting}, slots ${upstream.slots.length}/${upstream.capacity}`;
+function formatUpstream(
+  upstream: StatusResponse["upstreams"][number],
+): string[] {
+  const health = upstream.up ? "up" : "down";
+  const summary =
+    `  ${upstream.upstreamId} ${upstream.state}, ${health}, credits ${upstream.creditsInUse}/${upstream.batchSize}, leases ${upstream.leases.length}, waiting ${upstream.waiting}, slots ${upstream.slots.length}/${upstream.capacity}`;
   const slots = upstream.slots.map((slot) =>
     `    ${slot.adapterKey} ${slot.state}`
   );
-  return [head, ...slots];
+  return [summary, ...slots];
 }
 
-function formatReasons(metrics: MetricsSnapshot): string[] {
+function formatRefusalCounters(metrics: MetricsSnapshot): string[] {
   return Object.entries(metrics.counters)
     .filter(([name]) => /^(refused|retried|lease_refused)\./.test(name))
     .map(([name, count]) => `  ${name} ${count}`);
--- a/src/cli/exit_codes.ts
+++ b/src/cli/exit_codes.ts
@@ -1,9 +1,9 @@
 /** Exit codes of the command-line tool, as docs/OPERATORS.md lists them. */
 
 export const ExitCode = {
-  Done: 0,
+  Success: 0,
   /** Unknown command or option, or a missing argument. */
-  WrongUse: 1,
+  UsageError: 1,
   /** A checked file has faults or cannot be read. */
   FaultsFound: 2,
   /** The daemon did not answer, or not as asked. */
--- a/src/cli/explain_request_command.ts
+++ b/src/cli/explain_request_command.ts
@@ -37,7 +37,7 @@
   for (const record of selected) {
     console.log(isJson ? JSON.stringify(record) : formatRecord(record));
   }
-  return ExitCode.Done;
+  return ExitCode.Success;
 }
 
 async function readLog(name: string): Promise<LogRecord[]> {
--- a/src/cli/gateway_status_command.ts
+++ b/src/cli/gateway_status_command.ts
@@ -32,7 +32,7 @@
   for (const sample of samples) {
     console.log(isJson ? JSON.stringify(sample) : formatSample(sample));
   }
-  return ExitCode.Done;
+  return ExitCode.Success;
 }
 
 /** Reads the product's gauges and counters; the buckets of histograms are left out. */
@@ -40,9 +40,9 @@
   return text.split("\n").flatMap((line) => {
     const match = /^([a-z_]+)(?:\{(.*)\})? (\S+)$/.exec(line);
     const [, fullName = "", labels = "", value = ""] = match ?? [];
-    const isWanted = fullName.startsWith(METRIC_PREFIX) &&
+    const isIncluded = fullName.startsWith(METRIC_PREFIX) &&
       !fullName.endsWith("_bucket");
-    if (!isWanted) return [];
+    if (!isIncluded) return [];
     const name = fullName.slice(METRIC_PREFIX.length);
     return [{ name, labels, value: Number(value) }];
   });
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -138,7 +138,7 @@
 const hasArguments = process.argv.length > 2;
 if (!hasArguments) {
   program.help();
-  process.exit(ExitCode.WrongUse);
+  process.exit(ExitCode.UsageError);
 }
 // The library itself answers `--help`, `--version` and wrong use, and exits with 0 or 1.
 const parsed = program.parse(process.argv, {
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -10,7 +10,7 @@
   address: string,
   path: string,
 ): Promise<Result<T, string>> {
-  return fetchAnswer(
+  return fetchBody(
     address,
     path,
     async (body) => await body.json() as T,
@@ -22,10 +22,10 @@
   address: string,
   path: string,
 ): Promise<Result<string, string>> {
-  return fetchAnswer(address, path, (body) => body.text());
+  return fetchBody(address, path, (body) => body.text());
 }
 
-async function fetchAnswer<T>(
+async function fetchBody<T>(
   address: string,
   path: string,
   read: (body: Dispatcher.ResponseData["body"]) => Promise<T>,
--- a/src/cli/request_trace.ts
+++ b/src/cli/request_trace.ts
@@ -63,13 +63,15 @@
   records: readonly LogRecord[],
   requestId: string,
 ): LogRecord[] {
-  const own = records.filter((record) => record.requestId === requestId);
-  if (own.length === 0) return [];
-  const times = own.map(getTimeMs);
+  const ownRecords = records.filter((record) => record.requestId === requestId);
+  if (ownRecords.length === 0) return [];
+  const times = ownRecords.map(getTimeMs);
   const from = Math.min(...times) - LOOK_BACK_MS;
   const until = Math.max(...times) + LOOK_AHEAD_MS;
-  const hosts = new Set(own.map((record) => record.host));
-  const upstreams = new Set(own.flatMap((record) => record.upstream ?? []));
+  const hosts = new Set(ownRecords.map((record) => record.host));
+  const upstreams = new Set(
+    ownRecords.flatMap((record) => record.upstream ?? []),
+  );
   const isRelated = (record: LogRecord): boolean => {
     if (record.requestId !== undefined) return record.requestId === requestId;
     const time = getTimeMs(record);
@@ -85,9 +87,9 @@
 /** Returns a record as text: time, host, event and the other fields. */
 export function formatRecord(record: LogRecord): string {
   const { time, level: _level, host, event, ...fields } = record;
-  const described = Object.entries(fields)
+  const formattedFields = Object.entries(fields)
     .map(([name, value]) => `${name}=${formatValue(value)}`);
-  return [time, host, event, ...described].join(" ");
+  return [time, host, event, ...formattedFields].join(" ");
 }
 
 function formatValue(value: unknown): string {
--- a/src/cli/watch_command.ts
+++ b/src/cli/watch_command.ts
@@ -1,5 +1,5 @@
 /** The command that prints a line of a daemon's status each interval. */
-import type { StatusAnswer } from "./daemon_commands.ts";
+import type { StatusResponse } from "./daemon_commands.ts";
 import { ExitCode } from "./exit_codes.ts";
 import { fetchFromDaemon } from "./operator_client.ts";
 
@@ -16,13 +16,13 @@
   options: WatchOptions,
 ): Promise<ExitCode> {
   const { intervalMs, count } = options;
-  if (!isAmount(intervalMs) || !isAmount(count)) {
+  if (!isNonNegativeNumber(intervalMs) || !isNonNegativeNumber(count)) {
     console.error("Expected numbers for --interval-ms and --count");
-    return ExitCode.WrongUse;
+    return ExitCode.UsageError;
   }
   for (let line = 0; count === 0 || line < count; line += 1) {
     if (line > 0) await waitMs(intervalMs);
-    const status = await fetchFromDaemon<StatusAnswer>(address, "/status");
+    const status = await fetchFromDaemon<StatusResponse>(address, "/status");
     if (status.isErr()) {
       console.error(status.error);
       return ExitCode.DaemonFailed;
@@ -31,23 +31,23 @@
       options.isJson ? JSON.stringify(status.value) : formatLine(status.value),
     );
   }
-  return ExitCode.Done;
+  return ExitCode.Success;
 }
 
-function isAmount(value: unknown): boolean {
+function isNonNegativeNumber(value: unknown): boolean {
   return typeof value === "number" && value >= 0;
 }
 
-function formatLine(status: StatusAnswer): string {
+function formatLine(status: StatusResponse): string {
   const { gauges, counters } = status.metrics;
   const refused = Object.entries(counters)
     .filter(([name]) => name.startsWith("refused"))
     .reduce((total, [, count]) => total + count, 0);
   const livePeers = status.peers.filter((peer) => peer.live).length;
-  const fill = ((gauges["batch_fill"] ?? 0) * 100).toFixed(0);
+  const batchFillPercent = ((gauges["batch_fill"] ?? 0) * 100).toFixed(0);
   return `${status.id} ${status.state}  revision ${status.tablesRevision}  peers ${livePeers}/${status.peers.length}  requests ${status.execution.requests}  refused ${refused}  queue ${
     gauges["queue"] ?? 0
-  }  batch fill ${fill}%`;
+  }  batch fill ${batchFillPercent}%`;
 }
 
 async function waitMs(ms: number): Promise<void> {
--- a/src/daemon/platform_task.ts
+++ b/src/daemon/platform_task.ts
@@ -105,7 +105,7 @@
       delta.fromRevision === snapshot.revision &&
       applyCheckedDelta(snapshot, delta).isOk();
     if (isFitting) {
-      this.#files.setRead(files, revision);
+      this.#files.setBaseline(files, revision);
       await this.#emit(signal, { kind: "tablesDeltaPublished", delta });
       return revision;
     }
@@ -113,7 +113,7 @@
     if (tables.isErr()) {
       await this.#reportInvalid(revision, tables.error, signal);
     } else {
-      this.#files.setRead(files, revision);
+      this.#files.setBaseline(files, revision);
       await this.#emit(signal, {
         kind: "tablesPublished",
         tables: tables.value,
--- a/src/settings/table_file_set.ts
+++ b/src/settings/table_file_set.ts
@@ -25,13 +25,13 @@
 type NamedRows = Record<Section, Map<string, unknown>>;
 
 export class TableFileSet {
-  readonly #parsed = new Map<string, ParsedFile>();
-  #read: { revision: number; files: Map<string, ParsedFile> } | undefined;
+  readonly #parsedByName = new Map<string, ParsedFile>();
+  #baseline: { revision: number; files: Map<string, ParsedFile> } | undefined;
 
   /** Parses the file unless its text is known; returns whether it did. */
   parseFile({ name, text }: TableFile): boolean {
-    if (this.#parsed.get(name)?.text === text) return false;
-    this.#parsed.set(name, { text, parsed: parseTableText(text) });
+    if (this.#parsedByName.get(name)?.text === text) return false;
+    this.#parsedByName.set(name, { text, parsed: parseTableText(text) });
     return true;
   }
 
@@ -43,14 +43,14 @@
   }
 
   /** Keeps the files as those of the revision that was taken. */
-  setRead(files: readonly TableFile[], revision: number): void {
+  setBaseline(files: readonly TableFile[], revision: number): void {
     const parsed = files.map((file): [string, ParsedFile] => [
       file.name,
       this.#getParsed(file),
     ]);
-    this.#read = { revision, files: new Map(parsed) };
-    for (const name of [...this.#parsed.keys()]) {
-      if (!this.#read.files.has(name)) this.#parsed.delete(name);
+    this.#baseline = { revision, files: new Map(parsed) };
+    for (const name of [...this.#parsedByName.keys()]) {
+      if (!this.#baseline.files.has(name)) this.#parsedByName.delete(name);
     }
   }
 
@@ -63,32 +63,36 @@
     files: readonly TableFile[],
     revision: number,
   ): TablesDelta | undefined {
-    if (!this.#read || revision <= this.#read.revision) return undefined;
+    if (!this.#baseline || revision <= this.#baseline.revision) {
+      return undefined;
+    }
     const names = new Set(files.map((file) => file.name));
     const before: ParsedFile[] = [];
     const after: ParsedFile[] = [];
-    const same: ParsedFile[] = [];
+    const unchanged: ParsedFile[] = [];
     for (const file of files) {
       const parsed = this.#getParsed(file);
-      const known = this.#read.files.get(file.name);
-      if (known === parsed) same.push(parsed);
+      const known = this.#baseline.files.get(file.name);
+      if (known === parsed) unchanged.push(parsed);
       else {
         after.push(parsed);
         if (known) before.push(known);
       }
     }
-    for (const [name, file] of this.#read.files) {
+    for (const [name, file] of this.#baseline.files) {
       if (!names.has(name)) before.push(file);
     }
     const oldRows = listRows(before);
     const newRows = listRows(after);
-    if (!oldRows || !newRows || hasName(same, newRows)) return undefined;
-    return buildDelta(this.#read.revision, revision, oldRows, newRows);
+    if (!oldRows || !newRows || hasAnyName(unchanged, newRows)) {
+      return undefined;
+    }
+    return buildDelta(this.#baseline.revision, revision, oldRows, newRows);
   }
 
   #getParsed(file: TableFile): ParsedFile {
     this.parseFile(file);
-    const parsed = this.#parsed.get(file.name);
+    const parsed = this.#parsedByName.get(file.name);
     if (parsed) return parsed;
     throw new Error(`Expected ${file.name} to be parsed, found it missing`);
   }
@@ -145,7 +149,7 @@
 }
 
 /** Returns whether any of the rows stands in one of the files too. */
-function hasName(files: readonly ParsedFile[], rows: NamedRows): boolean {
+function hasAnyName(files: readonly ParsedFile[], rows: NamedRows): boolean {
   return files.some(({ parsed }) => {
     if (parsed.isErr()) return true;
     const value = (parsed.value.value ?? {}) as Record<
--- a/src/settings/yaml_file.ts
+++ b/src/settings/yaml_file.ts
@@ -68,12 +68,12 @@
       line: file.getLine(path),
       path: path.join("."),
       expected: describeExpected(issue),
-      found: describeAt(file.value, path),
+      found: describeValueAt(file.value, path),
     };
   }));
 }
 
-function describeAt(
+function describeValueAt(
   value: unknown,
   path: readonly (string | number)[],
 ): string {
--- a/test/cli/commands_test.ts
+++ b/test/cli/commands_test.ts
@@ -8,14 +8,14 @@
 import * as assert from "uvu/assert";
 import { ContractBench } from "../contracts/contract_bench.ts";
 
-const TOOL = "src/cli/main.ts";
+const CLI = "src/cli/main.ts";
 const DAEMON = "src/daemon/main.ts";
 const SETTINGS = "examples/settings/pistachiohatchd.yaml";
 const TABLES = ["examples/tables/routes.yaml", "examples/tables/pools.yaml"];
 
 const MAX_PARALLEL_RUNS = 3;
 
-const bench = new ContractBench();
+const harness = new ContractBench();
 const folder = mkdtempSync(join(tmpdir(), "pistachiohatch-cli-"));
 const brokenFile = join(folder, "broken.yaml");
 const commands = suite("programs");
@@ -23,13 +23,13 @@
 
 commands.before(async () => {
   writeFileSync(brokenFile, "routes:\n  - name: briefing\n");
-  await bench.start();
-  await bench.call();
+  await harness.start();
+  await harness.call();
   runs = startRuns(ALL_ROWS);
 });
 
 commands.after(async () => {
-  await bench.stop();
+  await harness.stop();
   rmSync(folder, { recursive: true });
 });
 
@@ -64,7 +64,7 @@
   stderr?: RegExp;
 }
 
-const ROWS: ProgramRow[] = [
+const OFFLINE_ROWS: ProgramRow[] = [
   { args: [], exitCode: 1, stdout: /Available Commands/ },
   { args: ["--help"], exitCode: 0, stdout: /Available Commands/ },
   { args: ["--version"], exitCode: 0, stdout: createVersionPattern() },
@@ -177,21 +177,21 @@
 ];
 
 const ALL_ROWS = [
-  ...ROWS,
+  ...OFFLINE_ROWS,
   ...DAEMON_ROWS.map((row) => ({ ...row, asksDaemon: true })),
 ];
 
 /** Runs every row, a few at a time; the results are in the order of the rows. */
 function startRuns(rows: readonly ProgramRow[]): Promise<ProgramRun>[] {
-  const lanes: Promise<unknown>[] = Array(MAX_PARALLEL_RUNS)
+  const queues: Promise<unknown>[] = Array(MAX_PARALLEL_RUNS)
     .fill(Promise.resolve());
   return rows.map((row, index) => {
-    const lane = index % MAX_PARALLEL_RUNS;
-    const address = row.asksDaemon ? ["--daemon", bench.operators] : [];
-    const run = (lanes[lane] ?? Promise.resolve()).then(() =>
-      runProgram(row.program ?? TOOL, [...row.args, ...address])
+    const queueIndex = index % MAX_PARALLEL_RUNS;
+    const address = row.asksDaemon ? ["--daemon", harness.operators] : [];
+    const run = (queues[queueIndex] ?? Promise.resolve()).then(() =>
+      runProgram(row.program ?? CLI, [...row.args, ...address])
     );
-    lanes[lane] = run;
+    queues[queueIndex] = run;
     return run;
   });
 }
@@ -217,7 +217,7 @@
 commands("pistachiohatchd on a port that is taken", async () => {
   const file = join(folder, "taken.yaml");
   const text = readFileSync(SETTINGS, "utf8")
-    .replace("127.0.0.1:7902", `127.0.0.1:${bench.peersPort}`);
+    .replace("127.0.0.1:7902", `127.0.0.1:${harness.peersPort}`);
   writeFileSync(file, text);
   const run = await runProgram(DAEMON, ["-s", file]);
   assert.is(run.exitCode, 3, run.stdout + run.stderr);
--- a/test/cli/gateway_status_test.ts
+++ b/test/cli/gateway_status_test.ts
@@ -25,7 +25,7 @@
   const samples = parseMetricSamples(await answer.text());
   const exitCode = await printGatewayStatus(`127.0.0.1:${PORT}`, true);
   metrics.close();
-  assert.is(exitCode, ExitCode.Done);
+  assert.is(exitCode, ExitCode.Success);
   const find = (name: string) => samples.find((each) => each.name === name);
   assert.is(find("held_engines")?.value, 2);
   assert.equal(find("refusals_total"), {
--- a/test/gateway/gateway_harness.ts
+++ b/test/gateway/gateway_harness.ts
@@ -15,7 +15,7 @@
 } from "../../fakes/platform_configuration.ts";
 import { FakePlatformStore } from "../../fakes/fake_platform_store.ts";
 import { EntryDecoder } from "../../platform/entry_decoder.ts";
-import { HeaderDialect } from "../../platform/header_dialect.ts";
+import { PlatformHeaderCodec } from "../../platform/header_dialect.ts";
 import { ReplicaClient } from "../../platform/replica_client.ts";
 import { StoreClient } from "../../platform/store_client.ts";
 import { Gateway } from "../../src/gateway/gateway.ts";
@@ -117,7 +117,7 @@
       logLevel: "silent",
     });
     return new Gateway(settings, {
-      headerCodec: new HeaderDialect(),
+      headerCodec: new PlatformHeaderCodec(),
       decoder: new EntryDecoder(),
       createStore: (address) => new StoreClient(address),
       createEngineControl: () => new ReplicaClient(),
--- a/test/platform/header_dialect_test.ts
+++ b/test/platform/header_dialect_test.ts
@@ -1,9 +1,9 @@
 /** Headers of callers and replicas: what is read, dropped, set and passed on. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { HeaderDialect } from "../../platform/header_dialect.ts";
+import { PlatformHeaderCodec } from "../../platform/header_dialect.ts";
 
-const dialect = new HeaderDialect();
+const codec = new PlatformHeaderCodec();
 const ATTEMPT = {
   upstreamId: "i-1",
   remainingMs: 812.9,
@@ -24,7 +24,7 @@
 }
 
 test("facts of a request are decoded", () => {
-  const facts = dialect.decodeRequestMetadata({
+  const metadata = codec.decodeRequestMetadata({
     host: "mill.example:8080",
     "x-request-id": "r1",
     "x-model": "m/a3",
@@ -32,18 +32,18 @@
     "x-prompt-prefix": "5c1e:800,91bd:410",
     "x-deadline-ms": "5000",
   }, "/plans/1?day=2");
-  assert.is(facts.hostName, "mill.example");
-  assert.is(facts.path, "/plans/1");
-  assert.is(facts.model, "m");
-  assert.is(facts.adapter, "a3");
-  assert.is(facts.promptTokens, 1_460);
-  assert.is(facts.outputTokens, 80);
-  assert.equal(facts.promptParts[1], { id: "91bd", tokens: 410 });
-  assert.is(facts.deadlineMs, 5_000);
+  assert.is(metadata.hostName, "mill.example");
+  assert.is(metadata.path, "/plans/1");
+  assert.is(metadata.model, "m");
+  assert.is(metadata.adapter, "a3");
+  assert.is(metadata.promptTokens, 1_460);
+  assert.is(metadata.outputTokens, 80);
+  assert.equal(metadata.promptParts[1], { id: "91bd", tokens: 410 });
+  assert.is(metadata.deadlineMs, 5_000);
 });
 
 test("headers that only the system sets are dropped from callers", () => {
-  const smuggled = [
+  const reservedHeaders = [
     "X-Hold",
     "X-Pin-Ms",
     "X-Kv-Backup",
@@ -53,8 +53,8 @@
     "X-Expect-Version",
     "X-Request-Priority",
   ];
-  const raw = smuggled.flatMap((name) => [name, "theirs"]);
-  const sent = toMap(dialect.encodeAttemptHeaders(raw, ATTEMPT));
+  const raw = reservedHeaders.flatMap((name) => [name, "theirs"]);
+  const sent = toMap(codec.encodeAttemptHeaders(raw, ATTEMPT));
   assert.not([...sent.values()].includes("theirs"));
   assert.is(sent.get("x-expect-instance"), "i-1");
   assert.is(sent.get("x-deadline-ms"), "812");
@@ -78,7 +78,7 @@
     "Content-Length",
     "7",
   ];
-  const sent = toMap(dialect.encodeAttemptHeaders(raw, ATTEMPT));
+  const sent = toMap(codec.encodeAttemptHeaders(raw, ATTEMPT));
   assert.is(sent.get("host"), "mill.example");
   assert.is(sent.get("x-model"), "m/a3");
   assert.is(sent.get("x-custom"), "kept");
@@ -92,7 +92,7 @@
 });
 
 test("a resumed stream names its last event once", () => {
-  const sent = dialect.encodeAttemptHeaders(["Last-Event-Id", "4"], {
+  const sent = codec.encodeAttemptHeaders(["Last-Event-Id", "4"], {
     ...ATTEMPT,
     lastEventId: "12",
   });
@@ -101,7 +101,7 @@
   assert.is(toMap(sent).get("last-event-id"), "12");
 });
 
-const HEADS: [string, number, Record<string, string>, object][] = [
+const RESPONSE_HEAD_ROWS: [string, number, Record<string, string>, object][] = [
   ["an answer with proof", 200, {
     "x-request-id": "r1",
     "x-response-stamp": "s",
@@ -135,9 +135,9 @@
   }],
 ];
 
-for (const [name, status, headers, expected] of HEADS) {
+for (const [name, status, headers, expected] of RESPONSE_HEAD_ROWS) {
   test(`the head of ${name} is understood`, () => {
-    const head = dialect.decodeResponseHead(status, headers, "r1");
+    const head = codec.decodeResponseHead(status, headers, "r1");
     for (const [field, value] of Object.entries(expected)) {
       assert.is(head[field as keyof typeof head], value, field);
     }
@@ -145,8 +145,8 @@
 }
 
 test("the time to come back is given in seconds with fractions", () => {
-  assert.equal(dialect.encodeRefusalHeaders(350), ["Retry-After", "0.350"]);
-  assert.equal(dialect.encodeRefusalHeaders(undefined), []);
+  assert.equal(codec.encodeRefusalHeaders(350), ["Retry-After", "0.350"]);
+  assert.equal(codec.encodeRefusalHeaders(undefined), []);
 });
 
 interface NoticeRow {
@@ -197,7 +197,7 @@
 
 for (const { name, status, headers, isLeaving, backoffMs } of NOTICE_ROWS) {
   test(`what a replica says of itself: ${name}`, () => {
-    const head = dialect.decodeResponseHead(status, headers, "r1");
+    const head = codec.decodeResponseHead(status, headers, "r1");
     assert.is(head.isLeaving, isLeaving);
     assert.is(head.backoffMs, backoffMs);
   });
--- a/test/settings/table_file_set_test.ts
+++ b/test/settings/table_file_set_test.ts
@@ -9,9 +9,9 @@
   return { name, text: stringify({ routes: rows }) };
 }
 
-function startSet(): TableFileSet {
+function createSet(): TableFileSet {
   const set = new TableFileSet();
-  set.setRead([
+  set.setBaseline([
     createFile("one", { a: "v1", b: "v1" }),
     createFile("two", { c: "v1" }),
   ], 2);
@@ -19,7 +19,7 @@
 }
 
 test("finds the rows that were changed, added, moved and removed", () => {
-  const delta = startSet().findDelta([
+  const delta = createSet().findDelta([
     createFile("one", { a: "v2" }),
     createFile("three", { c: "v1", d: "v1" }),
   ], 3);
@@ -28,7 +28,7 @@
   assert.equal(delta?.removedRoutes, ["b"]);
 });
 
-const UNFIT: [string, { name: string; text: string }][] = [
+const FILES_WITHOUT_DELTA: [string, { name: string; text: string }][] = [
   ["a name that another file has", createFile("one", { a: "v1", c: "v2" })],
   ["text that is no YAML", { name: "one", text: "routes: [" }],
   ["an unknown section", { name: "one", text: "paths: []" }],
@@ -39,28 +39,28 @@
   }],
 ];
 
-for (const [what, file] of UNFIT) {
+for (const [what, file] of FILES_WITHOUT_DELTA) {
   test(`leaves files with ${what} to the check of the whole`, () => {
     const files = [file, createFile("two", { c: "v1" })];
-    assert.is(startSet().findDelta(files, 3), undefined);
+    assert.is(createSet().findDelta(files, 3), undefined);
   });
 }
 
 test("leaves a file over a megabyte to the check of the whole", () => {
   const { name, text } = createFile("one", { a: "v2" });
   const large = { name, text: `${text}#${"x".repeat(1_048_576)}` };
-  assert.is(startSet().findDelta([large], 3), undefined);
+  assert.is(createSet().findDelta([large], 3), undefined);
 });
 
 test("finds nothing in a revision that is no later", () => {
   for (const revision of [1, 2]) {
     const files = [createFile("one", { a: "v2" })];
-    assert.is(startSet().findDelta(files, revision), undefined);
+    assert.is(createSet().findDelta(files, revision), undefined);
   }
 });
 
 test("parses only what has changed", () => {
-  const set = startSet();
+  const set = createSet();
   assert.is(set.parseFile(createFile("two", { c: "v1" })), false);
   assert.is(set.parseFile(createFile("two", { c: "v2" })), true);
 });
