--- a/src/daemon/attempt_end.ts
+++ b/src/daemon/attempt_end.ts
@@ -5,7 +5,7 @@
 import { type AttemptResult, Outcome } from "../core/outcomes.ts";
 
 /** Largest answer body kept for a ticket. */
-const MAX_KEPT_BODY_BYTES = 65_536;
+const MAX_STORED_BODY_BYTES = 65_536;
 /** Characters kept of an error answer. */
 const MAX_DETAIL_LENGTH = 200;
 /** Statuses with which an upstream says that it did not start a request. */
@@ -26,11 +26,11 @@
     : { kind: "failed", status, detail };
 }
 
-export function createNotSent(detail: string): AttemptEnd {
+export function createNotSentEnd(detail: string): AttemptEnd {
   return { result: { kind: "notSent", detail } };
 }
 
-export function createLost(
+export function createLostEnd(
   detail: string,
   attempt: { bytesForwarded: number },
 ): AttemptEnd {
@@ -42,7 +42,7 @@
   head: { status: number; contentType: string },
   body: Buffer | undefined,
 ): StoredAnswerStructure {
-  const bodyKept = body !== undefined && body.length <= MAX_KEPT_BODY_BYTES;
+  const bodyKept = body !== undefined && body.length <= MAX_STORED_BODY_BYTES;
   return {
     outcome: Outcome.Completed,
     status: head.status,
@@ -71,7 +71,7 @@
 }
 
 /** Returns the beginning of an error's body. */
-export async function readDetail(
+export async function readErrorDetail(
   response: Dispatcher.ResponseData,
 ): Promise<string> {
   const chunks = (response.body as AsyncIterable<Buffer>)
--- a/src/daemon/caller_exchange.ts
+++ b/src/daemon/caller_exchange.ts
@@ -3,7 +3,7 @@
 import type { Response } from "express";
 import type { StoredAnswerStructure } from "../core/messages.ts";
 import { needsDrain, writeChunk } from "./chunk_writer.ts";
-import type { AnswerHead, AnswerSink } from "./exchange.ts";
+import type { ResponseHead, ResponseSink } from "./exchange.ts";
 import {
   formatRefusal,
   type RefusalStructure,
@@ -18,26 +18,26 @@
   reportBegin: () => void;
 }
 
-export class CallerExchange implements AnswerSink {
+export class CallerExchange implements ResponseSink {
   readonly #options: CallerExchangeOptions;
   /** Body held back until the answer is known to be whole; undefined for streams. */
-  readonly #held: Uint8Array[] | undefined;
-  #head: AnswerHead | undefined;
+  readonly #bufferedChunks: Uint8Array[] | undefined;
+  #head: ResponseHead | undefined;
 
   constructor(options: CallerExchangeOptions) {
     this.#options = options;
-    this.#held = options.isStreamed ? undefined : [];
+    this.#bufferedChunks = options.isStreamed ? undefined : [];
   }
 
-  begin(head: AnswerHead): void {
+  begin(head: ResponseHead): void {
     this.#head = head;
     this.#options.reportBegin();
-    if (!this.#held) writeHead(this.#options.response, head);
+    if (!this.#bufferedChunks) writeHead(this.#options.response, head);
   }
 
   write(chunk: Uint8Array): boolean {
-    if (!this.#held) return writeChunk(this.#options.response, chunk);
-    this.#held.push(chunk);
+    if (!this.#bufferedChunks) return writeChunk(this.#options.response, chunk);
+    this.#bufferedChunks.push(chunk);
     return true;
   }
 
@@ -65,19 +65,19 @@
   complete(): void {
     const { response } = this.#options;
     if (!this.#head) return;
-    this.#limitStall();
-    if (!this.#held) {
+    this.#setStallTimeout();
+    if (!this.#bufferedChunks) {
       response.end();
       return;
     }
     writeHead(response, this.#head);
-    response.end(Buffer.concat(this.#held));
+    response.end(Buffer.concat(this.#bufferedChunks));
   }
 
   /** Sends an answer that was kept from an earlier call. */
   replay(answer: StoredAnswerStructure): void {
     const { response } = this.#options;
-    this.#limitStall();
+    this.#setStallTimeout();
     response.status(answer.status);
     response.set("content-type", answer.contentType);
     response.set("idempotent-replayed", "true");
@@ -87,7 +87,7 @@
   /** Refuses the request; an answer that has begun is broken off and never ended as if whole. */
   refuse(refusal: RefusalStructure): void {
     const { response } = this.#options;
-    this.#limitStall();
+    this.#setStallTimeout();
     if (!response.headersSent) {
       sendRefusal(response, refusal);
       return;
@@ -99,13 +99,13 @@
     );
   }
 
-  #limitStall(): void {
+  #setStallTimeout(): void {
     const { response, stallTimeoutMs } = this.#options;
     response.setTimeout(stallTimeoutMs, () => response.destroy());
   }
 }
 
-function writeHead(response: Response, head: AnswerHead): void {
+function writeHead(response: Response, head: ResponseHead): void {
   const [adapter, version] = head.servedModel.split("@");
   response.status(head.status);
   response.set("content-type", head.contentType);
--- a/src/daemon/caller_task.ts
+++ b/src/daemon/caller_task.ts
@@ -10,7 +10,7 @@
 import type { DaemonSettings } from "../settings/daemon_settings.ts";
 import type { Bus } from "./bus.ts";
 import { CallerExchange } from "./caller_exchange.ts";
-import { attachConnectionGuard } from "./connection_guard.ts";
+import { handleConnectionErrors } from "./connection_guard.ts";
 import type { ExchangeRegistry } from "./exchange.ts";
 import { close, createHttpServer, listen } from "./http_server.ts";
 import { parseJsonObject } from "./json_body.ts";
@@ -32,7 +32,7 @@
   getTables: () => TableSnapshot | undefined;
 }
 
-interface Call {
+interface ParsedCall {
   route: string;
   /** Parsed body of a call to an engine; undefined for plain services. */
   jsonBody: Record<string, unknown> | undefined;
@@ -49,7 +49,7 @@
 export class CallerTask {
   readonly #options: CallerTaskOptions;
   readonly #server: Server;
-  readonly #callers = new Map<string, CallerExchange>();
+  readonly #callerExchanges = new Map<string, CallerExchange>();
 
   constructor(options: CallerTaskOptions) {
     const { bus, settings } = options;
@@ -60,11 +60,17 @@
       headersTimeoutMs: settings.headersTimeoutMs,
       requestTimeoutMs: settings.bodyTimeoutMs,
     });
-    attachConnectionGuard(this.#server, options.metrics);
-    bus.on("complete", (data) => this.#finish(data.requestId)?.complete());
-    bus.on("refuse", (data) => this.#finish(data.requestId)?.refuse(data));
+    handleConnectionErrors(this.#server, options.metrics);
+    bus.on(
+      "complete",
+      (data) => this.#removeExchange(data.requestId)?.complete(),
+    );
+    bus.on(
+      "refuse",
+      (data) => this.#removeExchange(data.requestId)?.refuse(data),
+    );
     bus.on("replay", (data) => {
-      this.#finish(data.requestId)?.replay(data.answer);
+      this.#removeExchange(data.requestId)?.replay(data.answer);
     });
   }
 
@@ -172,9 +178,9 @@
     });
   }
 
-  #accept(request: Request, response: CallerResponse, call: Call): void {
+  #accept(request: Request, response: CallerResponse, call: ParsedCall): void {
     const { customer } = response.locals;
-    if (this.#isOfOtherKind(call, customer)) {
+    if (this.#isWrongPoolKind(call, customer)) {
       this.#refuse(response, { reason: RefusalReason.UnknownRoute });
       return;
     }
@@ -184,7 +190,7 @@
       : Buffer.alloc(0);
     const ticket = request.get("idempotency-key");
     const exchange = this.#createExchange(response, call.isStreamed);
-    this.#callers.set(requestId, exchange);
+    this.#callerExchanges.set(requestId, exchange);
     response.on("close", () => this.#handleClose(requestId));
     this.#options.exchanges.add({
       requestId,
@@ -207,7 +213,7 @@
   }
 
   /** Returns whether the route leads to upstreams that this path does not serve. */
-  #isOfOtherKind(call: Call, customer: string): boolean {
+  #isWrongPoolKind(call: ParsedCall, customer: string): boolean {
     const tables = this.#options.getTables();
     const route = tables?.getRoute(call.route, customer);
     const pool = route && tables?.getPool(route.pool);
@@ -229,13 +235,13 @@
   }
 
   #handleClose(requestId: string): void {
-    if (!this.#callers.delete(requestId)) return;
+    if (!this.#callerExchanges.delete(requestId)) return;
     void this.#options.bus.emit("event", { kind: "callerGone", requestId });
   }
 
-  #finish(requestId: string): CallerExchange | undefined {
-    const exchange = this.#callers.get(requestId);
-    this.#callers.delete(requestId);
+  #removeExchange(requestId: string): CallerExchange | undefined {
+    const exchange = this.#callerExchanges.get(requestId);
+    this.#callerExchanges.delete(requestId);
     this.#options.exchanges.remove(requestId);
     return exchange;
   }
@@ -257,10 +263,10 @@
   if (token === undefined) return undefined;
   const digest = createHash("sha256").update(token).digest("hex");
   const customer = tables.getCustomerByTokenDigest(digest);
-  const isHeld = customer?.tokenDigests.some((held) =>
-    timingSafeEqual(Buffer.from(held), Buffer.from(digest))
+  const isMatch = customer?.tokenDigests.some((tokenDigest) =>
+    timingSafeEqual(Buffer.from(tokenDigest), Buffer.from(digest))
   );
-  return isHeld ? customer?.name : undefined;
+  return isMatch ? customer?.name : undefined;
 }
 
 function computeFingerprint(
--- a/src/daemon/connection_guard.ts
+++ b/src/daemon/connection_guard.ts
@@ -3,31 +3,32 @@
 import type { Duplex } from "node:stream";
 import type { Metrics } from "./metrics.ts";
 
-interface Exchange {
+interface PendingRequest {
   request: IncomingMessage;
   response: ServerResponse;
 }
 
 /** Installs the guard on a server. */
-export function attachConnectionGuard(server: Server, metrics: Metrics): void {
-  const exchanges = new WeakMap<Duplex, Exchange>();
+export function handleConnectionErrors(server: Server, metrics: Metrics): void {
+  const pendingRequests = new WeakMap<Duplex, PendingRequest>();
   server.on("request", (request, response) => {
     const { socket } = request;
-    exchanges.set(socket, { request, response });
-    response.once("close", () => exchanges.delete(socket));
+    pendingRequests.set(socket, { request, response });
+    response.once("close", () => pendingRequests.delete(socket));
   });
   server.on("drop", () => metrics.count("connection_dropped", ""));
   server.on("clientError", (error: NodeJS.ErrnoException, socket) => {
     metrics.count("connection_malformed", error.code ?? "");
-    const exchange = exchanges.get(socket);
-    const canAnswer = socket.writable && (!exchange || isUnread(exchange));
+    const pending = pendingRequests.get(socket);
+    const canAnswer = socket.writable &&
+      (!pending || isAwaitingRequest(pending));
     if (canAnswer) socket.end(formatClientError(error.code));
     else socket.destroy();
   });
 }
 
 /** Returns whether the request is not whole and its answer has not begun, so that a status line enters no answer. */
-function isUnread({ request, response }: Exchange): boolean {
+function isAwaitingRequest({ request, response }: PendingRequest): boolean {
   return !request.complete && !response.headersSent;
 }
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -10,7 +10,7 @@
 import { ExchangeRegistry } from "./exchange.ts";
 import { createLogger, type Logger } from "./logger.ts";
 import { Metrics } from "./metrics.ts";
-import { type Cut, OperatorTask } from "./operator_task.ts";
+import { type NetworkPartition, OperatorTask } from "./operator_task.ts";
 import { PeerTask } from "./peer_task.ts";
 import { PlatformTask } from "./platform_task.ts";
 import { UpstreamTask } from "./upstream_task.ts";
@@ -39,7 +39,7 @@
   readonly #operators: OperatorTask;
   #gaugeTimer: NodeJS.Timeout | undefined;
   /** State and revisions as last logged. */
-  #reported = "";
+  #lastReported = "";
 
   constructor(settings: DaemonSettings) {
     const bus = this.#bus;
@@ -97,8 +97,8 @@
       core,
       metrics: this.#metrics,
       logger,
-      applyCut: settings.operators.allowCuts
-        ? (cut) => this.#applyCut(cut)
+      applyPartition: settings.operators.allowCuts
+        ? (partition) => this.#applyPartition(partition)
         : undefined,
     });
   }
@@ -152,18 +152,18 @@
     });
   }
 
-  #applyCut(cut: Cut): void {
-    this.#peers.setBlockedPeers(cut.peers);
-    this.#upstreams.setBlockedUpstreams(cut.upstreams);
-    this.#platform.setBlocked(cut.platform);
+  #applyPartition(partition: NetworkPartition): void {
+    this.#peers.setBlockedPeers(partition.peers);
+    this.#upstreams.setBlockedUpstreams(partition.upstreams);
+    this.#platform.setBlocked(partition.platform);
   }
 
   /** Logs a change of the daemon's state or of the revisions in force. */
   #reportChanges(description: DaemonDescription): void {
     const { state, tablesRevision, hostListRevision } = description;
-    const shown = JSON.stringify({ state, tablesRevision, hostListRevision });
-    if (shown === this.#reported) return;
-    this.#reported = shown;
+    const current = JSON.stringify({ state, tablesRevision, hostListRevision });
+    if (current === this.#lastReported) return;
+    this.#lastReported = current;
     this.#logger.info(`Daemon is ${state}`, {
       step: "updateGauges",
       tablesRevision,
--- a/src/daemon/exchange.ts
+++ b/src/daemon/exchange.ts
@@ -2,7 +2,7 @@
 import type { Buffer } from "node:buffer";
 
 /** The head of an answer, before any byte of its body. */
-export interface AnswerHead {
+export interface ResponseHead {
   status: number;
   contentType: string;
   servedModel: string;
@@ -10,9 +10,9 @@
 }
 
 /** Takes the bytes of one answer. */
-export interface AnswerSink {
+export interface ResponseSink {
   /** Starts the answer; called once, before the first chunk. */
-  begin(head: AnswerHead): void;
+  begin(head: ResponseHead): void;
   /** Forwards a chunk; returns whether the caller can take more at once. */
   write(chunk: Uint8Array): boolean;
   /** Resolves when a slow reader has caught up, or is gone. */
@@ -31,7 +31,7 @@
   contentType: string;
   isStreamed: boolean;
   ticket: string | undefined;
-  sink: AnswerSink;
+  sink: ResponseSink;
 }
 
 export class ExchangeRegistry {
--- a/src/daemon/http_server.ts
+++ b/src/daemon/http_server.ts
@@ -45,7 +45,7 @@
 export async function listen(server: Server, address: string): Promise<number> {
   const { host, port } = parseAddress(address);
   await new Promise<void>((resolve, reject) => {
-    const refuse = (cause: Error): void => {
+    const handleError = (cause: Error): void => {
       reject(
         new StepError(describeError(cause), {
           step: "listen",
@@ -54,9 +54,9 @@
         }),
       );
     };
-    server.once("error", refuse);
+    server.once("error", handleError);
     server.listen(port, host, () => {
-      server.off("error", refuse);
+      server.off("error", handleError);
       resolve();
     });
   });
--- a/src/daemon/metrics.ts
+++ b/src/daemon/metrics.ts
@@ -90,7 +90,7 @@
       values = hdr.build({ highestTrackableValue: MAX_TIME_MS });
       this.#histograms.set(histogram, values);
     }
-    values.recordValue(limitTime(valueMs));
+    values.recordValue(clampTime(valueMs));
     this.#client?.distribution(histogram, valueMs);
   }
 
@@ -116,6 +116,6 @@
   }
 }
 
-function limitTime(valueMs: number): number {
+function clampTime(valueMs: number): number {
   return Math.min(MAX_TIME_MS, Math.max(0, Math.round(valueMs)));
 }
--- a/src/daemon/operator_task.ts
+++ b/src/daemon/operator_task.ts
@@ -11,7 +11,7 @@
 import { describeError } from "./step_error.ts";
 
 /** Peers, upstreams and the platform that a daemon refuses to talk to, for tests of partitions. */
-export interface Cut {
+export interface NetworkPartition {
   peers: string[];
   upstreams: string[];
   platform: boolean;
@@ -23,10 +23,10 @@
   metrics: Metrics;
   logger: Logger;
   /** Absent unless the settings allow cuts. */
-  applyCut: ((cut: Cut) => void) | undefined;
+  applyPartition: ((partition: NetworkPartition) => void) | undefined;
 }
 
-const cutSchema = z.object({
+const partitionSchema = z.object({
   peers: z.array(z.string()).default([]),
   upstreams: z.array(z.string()).default([]),
   platform: z.boolean().default(false),
@@ -53,7 +53,8 @@
   }
 
   #createApp(): express.Express {
-    const { core, metrics, logger, applyCut } = this.#options;
+    const { core, metrics, logger, applyPartition: applyPartition } =
+      this.#options;
     const app = express();
     app.disable("x-powered-by");
     app.use(express.json());
@@ -108,12 +109,14 @@
       response.json(parsed.data);
     });
     app.put("/cut", (request, response) => {
-      const parsed = cutSchema.safeParse(request.body);
-      if (!applyCut || !parsed.success) {
-        response.status(applyCut ? 400 : 403).json({ error: "Not allowed" });
+      const parsed = partitionSchema.safeParse(request.body);
+      if (!applyPartition || !parsed.success) {
+        response.status(applyPartition ? 400 : 403).json({
+          error: "Not allowed",
+        });
         return;
       }
-      applyCut(parsed.data);
+      applyPartition(parsed.data);
       response.json(parsed.data);
     });
     app.use((_request: Request, response: Response) => {
--- a/src/daemon/peer_channel.ts
+++ b/src/daemon/peer_channel.ts
@@ -9,7 +9,7 @@
 /** Messages of one envelope. */
 const MAX_ENVELOPE_MESSAGES = 64;
 /** Messages that wait for one peer; more are dropped, as a cut network would. */
-const MAX_WAITING_MESSAGES = 10_000;
+const MAX_QUEUED_MESSAGES = 10_000;
 
 export interface PeerChannelOptions {
   selfId: string;
@@ -23,9 +23,9 @@
 
 export class PeerChannel {
   readonly #options: PeerChannelOptions;
-  readonly #waiting: PeerMessage[] = [];
+  readonly #queue: PeerMessage[] = [];
   #stream: ClientWritableStream<Uint8Array> | undefined;
-  #isFlushDue = false;
+  #isFlushScheduled = false;
   #isClosed = false;
 
   constructor(options: PeerChannelOptions) {
@@ -38,8 +38,8 @@
 
   /** Sends the message, together with the others of this turn. */
   post(message: PeerMessage): void {
-    if (this.#waiting.length >= MAX_WAITING_MESSAGES) return;
-    this.#waiting.push(message);
+    if (this.#queue.length >= MAX_QUEUED_MESSAGES) return;
+    this.#queue.push(message);
     this.#scheduleFlush();
   }
 
@@ -50,20 +50,20 @@
   }
 
   #scheduleFlush(): void {
-    if (this.#isFlushDue || this.#isClosed) return;
-    this.#isFlushDue = true;
+    if (this.#isFlushScheduled || this.#isClosed) return;
+    this.#isFlushScheduled = true;
     queueMicrotask(() => {
-      this.#isFlushDue = false;
+      this.#isFlushScheduled = false;
       this.#flush();
     });
   }
 
   /** Writes what waits, until the peer takes no more. */
   #flush(): void {
-    while (this.#waiting.length > 0 && !this.#isClosed) {
+    while (this.#queue.length > 0 && !this.#isClosed) {
       const stream = this.#stream ?? this.#openStream();
       if (stream.writableNeedDrain) return;
-      const messages = this.#waiting.splice(0, MAX_ENVELOPE_MESSAGES);
+      const messages = this.#queue.splice(0, MAX_ENVELOPE_MESSAGES);
       const bytes = encodeEnvelope({ from: this.#options.selfId, messages });
       stream.write(bytes);
       this.#options.recordSent(bytes.length, messages.length);
@@ -91,7 +91,7 @@
     if (this.#stream === stream) this.#stream = undefined;
     if (this.#isClosed) return;
     if (error) this.#options.reportFailure(error);
-    if (this.#waiting.length > 0) this.#scheduleFlush();
+    if (this.#queue.length > 0) this.#scheduleFlush();
   }
 }
 
--- a/src/daemon/peer_task.ts
+++ b/src/daemon/peer_task.ts
@@ -29,7 +29,7 @@
 
 const MAX_MESSAGE_BYTES = 8 * 1_048_576;
 /** Silence of a peer after which the way to it is opened anew. */
-const SILENT_RESET_MS = 5_000;
+const RECONNECT_AFTER_SILENCE_MS = 5_000;
 const INITIAL_RECONNECT_BACKOFF_MS = 50;
 const MAX_RECONNECT_BACKOFF_MS = 300;
 
@@ -80,7 +80,7 @@
     { channel: PeerChannel; openedAt: number }
   >();
   /** When each peer was last heard, on the process's clock. */
-  readonly #heardAt = new Map<string, number>();
+  readonly #lastReceivedAt = new Map<string, number>();
   readonly #blocked = new Set<string>();
   #bytesSent = 0;
   #messagesSent = 0;
@@ -156,7 +156,7 @@
     }
     if (this.#blocked.has(envelope.from)) return;
     if (this.#channels.has(envelope.from)) {
-      this.#heardAt.set(envelope.from, performance.now());
+      this.#lastReceivedAt.set(envelope.from, performance.now());
     }
     for (const message of envelope.messages) {
       void this.#options.bus.emit("event", {
@@ -167,18 +167,18 @@
     }
   }
 
-  #post(to: string, message: PeerMessage): void {
-    if (this.#blocked.has(to)) return;
-    const address = this.#options.getAddress(to);
+  #post(peerId: string, message: PeerMessage): void {
+    if (this.#blocked.has(peerId)) return;
+    const address = this.#options.getAddress(peerId);
     if (address === undefined) return;
-    this.#getChannel(to, address).post(message);
+    this.#getChannel(peerId, address).post(message);
   }
 
-  #reportFailure(to: string, error: Error): void {
+  #reportFailure(peerId: string, error: Error): void {
     this.#countEnvelope("envelope_undelivered");
     this.#options.logger.debug("Envelope was not delivered", {
       step: "deliver",
-      peer: to,
+      peer: peerId,
       error: describeError(error),
     });
   }
@@ -188,17 +188,17 @@
   }
 
   /** Returns the way to the peer, a new one if its address has changed or it has long been silent. */
-  #getChannel(to: string, address: string): PeerChannel {
+  #getChannel(peerId: string, address: string): PeerChannel {
     const now = performance.now();
-    const known = this.#channels.get(to);
-    const heardAt = Math.max(
-      this.#heardAt.get(to) ?? 0,
-      known?.openedAt ?? 0,
+    const existing = this.#channels.get(peerId);
+    const lastActivityAt = Math.max(
+      this.#lastReceivedAt.get(peerId) ?? 0,
+      existing?.openedAt ?? 0,
     );
-    const isUsable = known?.channel.address === address &&
-      now - heardAt < SILENT_RESET_MS;
-    if (isUsable) return known.channel;
-    known?.channel.close();
+    const isUsable = existing?.channel.address === address &&
+      now - lastActivityAt < RECONNECT_AFTER_SILENCE_MS;
+    if (isUsable) return existing.channel;
+    existing?.channel.close();
     const channel = new PeerChannel({
       selfId: this.#options.settings.id,
       address,
@@ -211,9 +211,9 @@
         this.#bytesSent += bytes;
         this.#messagesSent += messages;
       },
-      reportFailure: (error) => this.#reportFailure(to, error),
+      reportFailure: (error) => this.#reportFailure(peerId, error),
     });
-    this.#channels.set(to, { channel, openedAt: now });
+    this.#channels.set(peerId, { channel, openedAt: now });
     return channel;
   }
 
--- a/src/daemon/platform_task.ts
+++ b/src/daemon/platform_task.ts
@@ -21,11 +21,11 @@
 } from "./upstream_schemas.ts";
 
 /** Longest wait of one watch. */
-const WATCH_WAIT_MS = 10_000;
+const WATCH_TIMEOUT_MS = 10_000;
 /** Longest wait between tries to read a platform that does not answer. */
-const MAX_RETRY_MS = 10_000;
+const MAX_RETRY_DELAY_MS = 10_000;
 /** Readings of the keys that may disagree in revision before the reading is given up. */
-const MAX_TORN_READINGS = 5;
+const MAX_INCONSISTENT_READS = 5;
 
 export interface PlatformTaskOptions {
   settings: DaemonSettings;
@@ -38,21 +38,21 @@
 export class PlatformTask {
   readonly #options: PlatformTaskOptions;
   readonly #agent = new Agent();
-  readonly #files = new TableFileSet();
+  readonly #fileSet = new TableFileSet();
   /** Ends what is being read; undefined while nothing is. */
-  #abort: AbortController | undefined;
+  #abortController: AbortController | undefined;
   #isBlocked = false;
 
   constructor(options: PlatformTaskOptions) {
     this.#options = options;
     options.bus.on("readPlatform", ({ isReading }) => {
       if (isReading) this.#start();
-      else this.#abort?.abort();
+      else this.#abortController?.abort();
     });
   }
 
   async stop(): Promise<void> {
-    this.#abort?.abort();
+    this.#abortController?.abort();
     await this.#agent.destroy();
   }
 
@@ -62,26 +62,28 @@
   }
 
   #start(): void {
-    this.#abort?.abort();
-    const abort = new AbortController();
-    this.#abort = abort;
-    void this.#followTables(abort.signal);
-    void this.#followHosts(abort.signal);
+    this.#abortController?.abort();
+    const abortController = new AbortController();
+    this.#abortController = abortController;
+    void this.#watchTables(abortController.signal);
+    void this.#watchHosts(abortController.signal);
   }
 
-  async #followTables(signal: AbortSignal): Promise<void> {
-    let known = 0;
+  async #watchTables(signal: AbortSignal): Promise<void> {
+    let knownRevision = 0;
     let failures = 0;
     while (!signal.aborted) {
       try {
-        const revision = known === 0 ? 0 : await this.#watch(known, signal);
-        if (known === 0 || revision > known) {
-          known = await this.#publishTables(signal);
+        const revision = knownRevision === 0
+          ? 0
+          : await this.#awaitRevision(knownRevision, signal);
+        if (knownRevision === 0 || revision > knownRevision) {
+          knownRevision = await this.#publishTables(signal);
         } else await this.#emit(signal, { kind: "platformReached" });
         failures = 0;
       } catch (error) {
         failures += 1;
-        known = 0;
+        knownRevision = 0;
         await this.#emit(signal, { kind: "platformUnreachable" });
         await this.#reportFailure("readTables", error, failures, signal);
       }
@@ -92,7 +94,7 @@
   async #publishTables(signal: AbortSignal): Promise<number> {
     const { revision, files } = await this.#readFiles(signal);
     for (const file of files) {
-      if (this.#files.parseFile(file)) await this.#pause(0);
+      if (this.#fileSet.parseFile(file)) await this.#wait(0);
     }
     const snapshot = this.#options.getTables();
     if (snapshot && revision <= snapshot.revision) {
@@ -100,20 +102,20 @@
       await this.#emit(signal, { kind: "platformReached" });
       return revision;
     }
-    const delta = this.#files.findDelta(files, revision);
-    const isFitting = delta !== undefined && snapshot !== undefined &&
+    const delta = this.#fileSet.findDelta(files, revision);
+    const isApplicable = delta !== undefined && snapshot !== undefined &&
       delta.fromRevision === snapshot.revision &&
       applyCheckedDelta(snapshot, delta).isOk();
-    if (isFitting) {
-      this.#files.setBaseline(files, revision);
+    if (isApplicable) {
+      this.#fileSet.setBaseline(files, revision);
       await this.#emit(signal, { kind: "tablesDeltaPublished", delta });
       return revision;
     }
-    const tables = this.#files.parseTables(files, revision);
+    const tables = this.#fileSet.parseTables(files, revision);
     if (tables.isErr()) {
       await this.#reportInvalid(revision, tables.error, signal);
     } else {
-      this.#files.setBaseline(files, revision);
+      this.#fileSet.setBaseline(files, revision);
       await this.#emit(signal, {
         kind: "tablesPublished",
         tables: tables.value,
@@ -122,11 +124,11 @@
     return revision;
   }
 
-  async #followHosts(signal: AbortSignal): Promise<void> {
+  async #watchHosts(signal: AbortSignal): Promise<void> {
     let failures = 0;
     while (!signal.aborted) {
       try {
-        const hostList: HostListStructure = await this.#get(
+        const hostList: HostListStructure = await this.#fetchJson(
           this.#options.settings.platform.hostList,
           "/v1/hosts",
           hostListSchema,
@@ -134,7 +136,7 @@
         );
         await this.#emit(signal, { kind: "hostListPublished", hostList });
         failures = 0;
-        await this.#pause(this.#options.settings.platform.pollIntervalMs);
+        await this.#wait(this.#options.settings.platform.pollIntervalMs);
       } catch (error) {
         failures += 1;
         await this.#reportFailure("readHostList", error, failures, signal);
@@ -147,8 +149,8 @@
     signal: AbortSignal,
   ): Promise<{ revision: number; files: TableFile[] }> {
     const { configuration } = this.#options.settings.platform;
-    for (let reading = 0; reading < MAX_TORN_READINGS; reading += 1) {
-      const { revision, keys } = await this.#get(
+    for (let attempt = 0; attempt < MAX_INCONSISTENT_READS; attempt += 1) {
+      const { revision, keys } = await this.#fetchJson(
         configuration,
         "/v1/keys",
         keysSchema,
@@ -156,7 +158,7 @@
       );
       const values = await Promise.all(
         keys.map((key) =>
-          this.#get(
+          this.#fetchJson(
             configuration,
             `/v1/keys/${encodeURIComponent(key)}`,
             keyValueSchema,
@@ -172,7 +174,7 @@
       return { revision, files };
     }
     throw new StepError(
-      `Expected all keys at one revision, found several in ${MAX_TORN_READINGS} readings`,
+      `Expected all keys at one revision, found several in ${MAX_INCONSISTENT_READS} readings`,
       { step: "readTables", peer: configuration },
     );
   }
@@ -202,13 +204,16 @@
   }
 
   /** Waits for a newer revision for some time; returns the revision then. */
-  async #watch(known: number, signal: AbortSignal): Promise<number> {
-    const { revision } = await this.#get(
+  async #awaitRevision(
+    knownRevision: number,
+    signal: AbortSignal,
+  ): Promise<number> {
+    const { revision } = await this.#fetchJson(
       this.#options.settings.platform.configuration,
-      `/v1/watch?after=${known}&waitMs=${WATCH_WAIT_MS}`,
+      `/v1/watch?after=${knownRevision}&waitMs=${WATCH_TIMEOUT_MS}`,
       keysSchema,
       signal,
-      WATCH_WAIT_MS,
+      WATCH_TIMEOUT_MS,
     );
     return revision;
   }
@@ -218,7 +223,7 @@
     if (!signal.aborted) await this.#options.bus.emit("event", event);
   }
 
-  async #get<Schema extends z.ZodType>(
+  async #fetchJson<Schema extends z.ZodType>(
     address: string,
     path: string,
     schema: Schema,
@@ -265,12 +270,12 @@
       tag: step,
     });
     const { pollIntervalMs } = this.#options.settings.platform;
-    await this.#pause(
-      Math.min(MAX_RETRY_MS, pollIntervalMs * 2 ** (failures - 1)),
+    await this.#wait(
+      Math.min(MAX_RETRY_DELAY_MS, pollIntervalMs * 2 ** (failures - 1)),
     );
   }
 
-  async #pause(ms: number): Promise<void> {
+  async #wait(ms: number): Promise<void> {
     await new Promise((resolve) => setTimeout(resolve, ms));
   }
 }
--- a/src/daemon/sse_inspector.ts
+++ b/src/daemon/sse_inspector.ts
@@ -6,16 +6,16 @@
 import { Buffer } from "node:buffer";
 
 const NEWLINE = 0x0a;
-const BOUNDARY = Buffer.from("\n\n");
-const END_MARK = "data: [DONE]";
-const END_EVENT = Buffer.from(`${END_MARK}\n\n`);
+const EVENT_SEPARATOR = Buffer.from("\n\n");
+const DONE_LINE = "data: [DONE]";
+const DONE_EVENT = Buffer.from(`${DONE_LINE}\n\n`);
 const NO_BYTES = Buffer.alloc(0);
 /** Longest event. */
 const MAX_EVENT_BYTES = 1_048_576;
 
 export class SseInspector {
-  #partial: Buffer = NO_BYTES;
-  #last: Buffer = NO_BYTES;
+  #incompleteEvent: Buffer = NO_BYTES;
+  #lastEvents: Buffer = NO_BYTES;
   #model: string | undefined;
   #eventCount = 0;
 
@@ -31,40 +31,44 @@
 
   /** Takes the next chunk and returns the events that are whole with it, if any. */
   push(chunk: Buffer): Buffer | undefined {
-    const bytes = this.#partial.length === 0
+    const bytes = this.#incompleteEvent.length === 0
       ? chunk
-      : Buffer.concat([this.#partial, chunk]);
+      : Buffer.concat([this.#incompleteEvent, chunk]);
     const end = findEndOfEvents(bytes);
-    this.#partial = end === bytes.length ? NO_BYTES : bytes.subarray(end);
-    if (this.#partial.length > MAX_EVENT_BYTES) {
+    this.#incompleteEvent = end === bytes.length
+      ? NO_BYTES
+      : bytes.subarray(end);
+    if (this.#incompleteEvent.length > MAX_EVENT_BYTES) {
       throw new Error(
         `Expected events of at most ${MAX_EVENT_BYTES} bytes, found a longer one`,
       );
     }
     if (end === 0) return undefined;
-    const whole = end === bytes.length ? bytes : bytes.subarray(0, end);
-    this.#model ??= readModel(whole);
-    this.#eventCount += countBoundaries(whole);
-    this.#last = whole;
-    return whole;
+    const events = end === bytes.length ? bytes : bytes.subarray(0, end);
+    this.#model ??= readModel(events);
+    this.#eventCount += countEvents(events);
+    this.#lastEvents = events;
+    return events;
   }
 
   /** Takes the end of the connection and returns an end mark that came without its blank line. */
   finish(): Buffer | undefined {
-    if (this.#partial.toString("utf8").trimEnd() !== END_MARK) return undefined;
-    this.#partial = NO_BYTES;
-    this.#last = END_EVENT;
-    return END_EVENT;
+    if (this.#incompleteEvent.toString("utf8").trimEnd() !== DONE_LINE) {
+      return undefined;
+    }
+    this.#incompleteEvent = NO_BYTES;
+    this.#lastEvents = DONE_EVENT;
+    return DONE_EVENT;
   }
 
   /** Drops the part of an event that came before the connection was cut. */
-  dropPartial(): void {
-    this.#partial = NO_BYTES;
+  dropIncompleteEvent(): void {
+    this.#incompleteEvent = NO_BYTES;
   }
 
   /** Returns whether the last event was the end mark. */
   isComplete(): boolean {
-    return this.#last.subarray(-END_EVENT.length).equals(END_EVENT);
+    return this.#lastEvents.subarray(-DONE_EVENT.length).equals(DONE_EVENT);
   }
 }
 
@@ -73,22 +77,24 @@
   const isWhole = bytes[length - 1] === NEWLINE &&
     bytes[length - 2] === NEWLINE;
   if (isWhole) return length;
-  const last = bytes.lastIndexOf(BOUNDARY);
-  return last < 0 ? 0 : last + BOUNDARY.length;
+  const last = bytes.lastIndexOf(EVENT_SEPARATOR);
+  return last < 0 ? 0 : last + EVENT_SEPARATOR.length;
 }
 
-function countBoundaries(bytes: Buffer): number {
+function countEvents(bytes: Buffer): number {
   let count = 0;
-  let at = bytes.indexOf(BOUNDARY);
+  let at = bytes.indexOf(EVENT_SEPARATOR);
   while (at >= 0) {
     count += 1;
-    at = bytes.indexOf(BOUNDARY, at + BOUNDARY.length);
+    at = bytes.indexOf(EVENT_SEPARATOR, at + EVENT_SEPARATOR.length);
   }
   return count;
 }
 
 function readModel(events: Buffer): string {
-  const first = events.subarray(0, events.indexOf(BOUNDARY)).toString("utf8");
+  const first = events.subarray(0, events.indexOf(EVENT_SEPARATOR)).toString(
+    "utf8",
+  );
   const data = first.split("\n")
     .filter((line) => line.startsWith("data:"))
     .map((line) => line.slice("data:".length).trim())
--- a/src/daemon/stream_forwarder.ts
+++ b/src/daemon/stream_forwarder.ts
@@ -5,7 +5,7 @@
  */
 import type { Buffer } from "node:buffer";
 import type { Readable } from "node:stream";
-import type { AnswerHead, AnswerSink } from "./exchange.ts";
+import type { ResponseHead, ResponseSink } from "./exchange.ts";
 import { SseInspector } from "./sse_inspector.ts";
 
 /** How a streamed answer ended. */
@@ -17,8 +17,8 @@
   | { kind: "broken"; error: Error };
 
 export interface StreamForwarderOptions {
-  sink: AnswerSink;
-  head: AnswerHead;
+  sink: ResponseSink;
+  head: ResponseHead;
   /** Called with the length of each chunk that is forwarded. */
   onForward: (bytes: number) => void;
   /** Opens the rest of the stream after some events; returns undefined where that is not possible. */
@@ -26,7 +26,7 @@
 }
 
 /** Connections in a row that may bring no event before the stream is given up. */
-const MAX_BARREN_CONNECTIONS = 2;
+const MAX_CONNECTIONS_WITHOUT_EVENT = 2;
 
 export class StreamForwarder {
   readonly #options: StreamForwarderOptions;
@@ -40,14 +40,19 @@
   /** Forwards the stream to its end, over as many connections as it takes. */
   async forward(body: Readable): Promise<StreamEnd> {
     let end = await this.#forwardConnection(body);
-    let barren = 0;
-    while (end.kind === "broken" && barren < MAX_BARREN_CONNECTIONS) {
-      this.#inspector.dropPartial();
+    let connectionsWithoutEvent = 0;
+    while (
+      end.kind === "broken" &&
+      connectionsWithoutEvent < MAX_CONNECTIONS_WITHOUT_EVENT
+    ) {
+      this.#inspector.dropIncompleteEvent();
       const { eventCount } = this.#inspector;
-      const rest = await this.#options.resume(eventCount);
-      if (!rest) return end;
-      end = await this.#forwardConnection(rest);
-      barren = this.#inspector.eventCount > eventCount ? 0 : barren + 1;
+      const resumed = await this.#options.resume(eventCount);
+      if (!resumed) return end;
+      end = await this.#forwardConnection(resumed);
+      connectionsWithoutEvent = this.#inspector.eventCount > eventCount
+        ? 0
+        : connectionsWithoutEvent + 1;
     }
     return end;
   }
--- a/src/daemon/upstream_resume.ts
+++ b/src/daemon/upstream_resume.ts
@@ -5,13 +5,13 @@
 
 /** Tries to reach an engine before its stream is given up. */
 const MAX_TRIES = 3;
-const TRY_INTERVAL_MS = 50;
+const RETRY_INTERVAL_MS = 50;
 
 /**
  * Returns the rest after the given number of events, or undefined: the engine
  * has restarted, no longer has the run, or can't be reached.
  */
-export async function openRest(
+export async function resumeStream(
   agent: Dispatcher,
   effect: DispatchEffect,
   afterEvents: number,
@@ -30,7 +30,7 @@
       await response.body.dump();
       return undefined;
     } catch {
-      await new Promise((resolve) => setTimeout(resolve, TRY_INTERVAL_MS));
+      await new Promise((resolve) => setTimeout(resolve, RETRY_INTERVAL_MS));
     }
   }
   return undefined;
--- a/src/daemon/upstream_task.ts
+++ b/src/daemon/upstream_task.ts
@@ -8,14 +8,14 @@
 import {
   type AttemptEnd,
   classifyStatus,
-  createLost,
-  createNotSent,
+  createLostEnd,
+  createNotSentEnd,
   createStoredAnswer,
   dropBody,
   getHeader,
   readBody,
   readBodyModel,
-  readDetail,
+  readErrorDetail,
 } from "./attempt_end.ts";
 import type { Bus } from "./bus.ts";
 import type { Exchange, ExchangeRegistry } from "./exchange.ts";
@@ -23,11 +23,11 @@
 import { describeError, getErrorCode, isConnectError } from "./step_error.ts";
 import { StreamForwarder } from "./stream_forwarder.ts";
 import { cancelRun, fetchState, sendOrder } from "./upstream_orders.ts";
-import { openRest } from "./upstream_resume.ts";
+import { resumeStream } from "./upstream_resume.ts";
 
 const CONNECT_TIMEOUT_MS = 1_000;
 /** Timers may fire this much early. */
-const RUN_END_ALLOWANCE_MS = 1;
+const TIMER_TOLERANCE_MS = 1;
 
 export interface UpstreamTaskOptions {
   bus: Bus;
@@ -38,7 +38,7 @@
 
 interface RunningAttempt {
   effect: DispatchEffect;
-  abort: AbortController;
+  abortController: AbortController;
   isCancelled: boolean;
   /** End of the longest run; an engine that keeps it cuts the answer no earlier. */
   runEndsAt: Milliseconds;
@@ -59,7 +59,7 @@
     this.#options = options;
     options.bus.on("dispatch", (data) => this.#run(data));
     options.bus.on("cancelAttempt", (data) => this.#cancel(data.attemptId));
-    options.bus.on("order", (data) => this.#order(data));
+    options.bus.on("order", (data) => this.#handleOrder(data));
     options.bus.on("readUpstreamState", (data) => this.#readState(data));
   }
 
@@ -76,15 +76,15 @@
   async #run(effect: DispatchEffect): Promise<void> {
     const attempt: RunningAttempt = {
       effect,
-      abort: new AbortController(),
+      abortController: new AbortController(),
       isCancelled: false,
       runEndsAt: performance.now() + effect.timeoutMs,
       bytesForwarded: 0,
     };
     this.#attempts.set(effect.attemptId, attempt);
     const timer = setTimeout(
-      () => attempt.abort.abort(),
-      effect.timeoutMs + RUN_END_ALLOWANCE_MS,
+      () => attempt.abortController.abort(),
+      effect.timeoutMs + TIMER_TOLERANCE_MS,
     );
     const end = await this.#runToEnd(attempt);
     clearTimeout(timer);
@@ -100,16 +100,18 @@
   async #runToEnd(attempt: RunningAttempt): Promise<AttemptEnd> {
     const { effect } = attempt;
     const exchange = this.#options.exchanges.get(effect.requestId);
-    if (!exchange) return createNotSent("no exchange");
-    if (this.#blocked.has(effect.upstreamId)) return createNotSent("cut off");
+    if (!exchange) return createNotSentEnd("no exchange");
+    if (this.#blocked.has(effect.upstreamId)) {
+      return createNotSentEnd("cut off");
+    }
     if (performance.now() >= effect.dispatchUntil) {
-      return createNotSent("dispatch window closed");
+      return createNotSentEnd("dispatch window closed");
     }
     try {
       const response = await this.#send(attempt, exchange);
       return await this.#receive(attempt, exchange, response);
     } catch (error) {
-      return await this.#concludeError(attempt, error);
+      return await this.#handleError(attempt, error);
     }
   }
 
@@ -134,7 +136,7 @@
         ...(exchange.ticket ? { "idempotency-key": exchange.ticket } : {}),
       },
       body,
-      signal: attempt.abort.signal,
+      signal: attempt.abortController.signal,
     });
   }
 
@@ -145,7 +147,7 @@
   ): Promise<AttemptEnd> {
     const { effect } = attempt;
     if (response.statusCode >= 400) {
-      const detail = await readDetail(response);
+      const detail = await readErrorDetail(response);
       return { result: classifyStatus(response.statusCode, detail) };
     }
     const isEngine = effect.upstreamKind === PoolKind.Engine;
@@ -154,7 +156,7 @@
       : effect.model;
     const servedId = getHeader(response, "x-request-id");
     if (servedModel !== effect.model || servedId !== effect.attemptId) {
-      return await this.#dropCrossed(attempt, response, servedModel);
+      return await this.#dropMismatched(attempt, response, servedModel);
     }
     const head = {
       status: response.statusCode,
@@ -165,7 +167,7 @@
     const isStream = head.contentType.startsWith("text/event-stream");
     return isStream
       ? await this.#forwardStream(attempt, exchange, response, head)
-      : await this.#forwardWhole(attempt, exchange, response, head);
+      : await this.#forwardBuffered(attempt, exchange, response, head);
   }
 
   async #forwardStream(
@@ -190,9 +192,9 @@
           answer: createStoredAnswer(head, undefined),
         };
       case "crossed":
-        return await this.#dropCrossed(attempt, response, end.model);
+        return await this.#dropMismatched(attempt, response, end.model);
       case "broken":
-        return await this.#concludeError(attempt, end.error);
+        return await this.#handleError(attempt, end.error);
     }
   }
 
@@ -206,21 +208,21 @@
       !attempt.isCancelled && performance.now() < attempt.runEndsAt &&
       !this.#blocked.has(effect.upstreamId);
     if (!canResume) return undefined;
-    const rest = await openRest(
+    const resumed = await resumeStream(
       this.#agent,
       effect,
       afterEvents,
-      attempt.abort.signal,
+      attempt.abortController.signal,
     );
     void this.#options.bus.emit("count", {
       kind: "count",
       counter: "stream_resumed",
-      tag: rest ? "resumed" : "refused",
+      tag: resumed ? "resumed" : "refused",
     });
-    return rest;
+    return resumed;
   }
 
-  async #forwardWhole(
+  async #forwardBuffered(
     attempt: RunningAttempt,
     exchange: Exchange,
     response: Dispatcher.ResponseData,
@@ -242,7 +244,7 @@
     };
   }
 
-  async #dropCrossed(
+  async #dropMismatched(
     attempt: RunningAttempt,
     response: Dispatcher.ResponseData,
     servedModel: string,
@@ -252,11 +254,11 @@
     return { result: { kind: "wrongAdapter", servedModel } };
   }
 
-  async #concludeError(
+  async #handleError(
     attempt: RunningAttempt,
     error: unknown,
   ): Promise<AttemptEnd> {
-    if (isConnectError(error)) return createNotSent(getErrorCode(error));
+    if (isConnectError(error)) return createNotSentEnd(getErrorCode(error));
     if (performance.now() >= attempt.runEndsAt) {
       await this.#cancelOnUpstream(attempt.effect);
       return { result: { kind: "timedOut" } };
@@ -264,25 +266,25 @@
     if (attempt.isCancelled) {
       const status = await this.#cancelOnUpstream(attempt.effect);
       // An upstream that never heard of the run may still have it before it.
-      const isOver = status === 200 ||
+      const hasRunEnded = status === 200 ||
         (status === 404 && attempt.bytesForwarded > 0);
-      return isOver
+      return hasRunEnded
         ? { result: { kind: "cancelled" } }
-        : createLost("cancelled, not confirmed", attempt);
+        : createLostEnd("cancelled, not confirmed", attempt);
     }
     this.#options.logger.warn("Attempt was lost", {
       step: "dispatch",
       peer: attempt.effect.upstreamId,
       error: describeError(error),
     });
-    return createLost(describeError(error), attempt);
+    return createLostEnd(describeError(error), attempt);
   }
 
   #cancel(attemptId: string): void {
     const attempt = this.#attempts.get(attemptId);
     if (!attempt) return;
     attempt.isCancelled = true;
-    attempt.abort.abort();
+    attempt.abortController.abort();
   }
 
   /** Cancels a run; returns the status of the upstream's answer, undefined when there is none. */
@@ -294,8 +296,10 @@
     return await cancelRun(this.#agent, effect.address, effect.attemptId);
   }
 
-  async #order(effect: Extract<Effect, { kind: "order" }>): Promise<void> {
-    const result = await this.#carryOutOrder(effect);
+  async #handleOrder(
+    effect: Extract<Effect, { kind: "order" }>,
+  ): Promise<void> {
+    const result = await this.#sendOrder(effect);
     if (result.kind !== "done") {
       this.#options.logger.warn("Order was not carried out", {
         step: effect.order.kind,
@@ -310,7 +314,7 @@
     });
   }
 
-  async #carryOutOrder(
+  async #sendOrder(
     effect: Extract<Effect, { kind: "order" }>,
   ): Promise<OrderResult> {
     if (performance.now() >= effect.sendUntil) {
--- a/src/protocol/peer_codec.ts
+++ b/src/protocol/peer_codec.ts
@@ -31,7 +31,7 @@
   return {
     from: wire.from,
     messages: wire.messages
-      .map(readMessage)
+      .map(decodeMessage)
       .filter((message) => message !== undefined),
   };
 }
@@ -42,7 +42,7 @@
   return EMPTY_REPLY;
 }
 
-function readMessage(message: WireMessage): PeerMessage | undefined {
+function decodeMessage(message: WireMessage): PeerMessage | undefined {
   if (message.body.case === undefined) return undefined;
   const fields = stripTypeNames(message.body.value) as object;
   return { kind: message.body.case, ...fields } as PeerMessage;
--- a/test/contracts/caller_contract_test.ts
+++ b/test/contracts/caller_contract_test.ts
@@ -7,7 +7,7 @@
 
 const MAX_BODY_BYTES = 131_072;
 /** Nesting within the bound of a body. */
-const DEPTH = 60_000;
+const NESTING_DEPTH = 60_000;
 const MAX_HEADER_BYTES = 8_192;
 const STALL_TIMEOUT_MS = 300;
 
@@ -50,7 +50,7 @@
   counter: string;
 }
 
-const ASKED = JSON.stringify({ model: "briefing" });
+const COMPLETION_BODY = JSON.stringify({ model: "briefing" });
 
 const REFUSAL_ROWS: RefusalRow[] = [
   {
@@ -126,8 +126,8 @@
   {
     fault: "JSON nested deeper than it can be sent on",
     request: {
-      body: `{"model":"briefing","deep":${"[".repeat(DEPTH)}${
-        "]".repeat(DEPTH)
+      body: `{"model":"briefing","deep":${"[".repeat(NESTING_DEPTH)}${
+        "]".repeat(NESTING_DEPTH)
       }}`,
     },
     status: 400,
@@ -143,7 +143,10 @@
   },
   {
     fault: "unknown content encoding",
-    request: { headers: { "content-encoding": "other" }, body: ASKED },
+    request: {
+      headers: { "content-encoding": "other" },
+      body: COMPLETION_BODY,
+    },
     status: 400,
     reason: "invalidRequest",
     counter: "refused.invalidRequest",
@@ -170,7 +173,7 @@
   },
   {
     fault: "service call on the route of an engine",
-    request: { path: "/v1/services/briefing", body: ASKED },
+    request: { path: "/v1/services/briefing", body: COMPLETION_BODY },
     status: 404,
     reason: "unknownRoute",
     counter: "refused.unknownRoute",
@@ -267,7 +270,8 @@
 });
 
 callers("a request that never ends is timed out", async () => {
-  const head = formatRequest({ body: ASKED }).toString().split("\r\n\r\n")[0];
+  const head =
+    formatRequest({ body: COMPLETION_BODY }).toString().split("\r\n\r\n")[0];
   assert.is((await sendRaw(`${head}\r\nx-more`)).status, 408);
   assert.is((await sendRaw(`${head}\r\n\r\n{"mod`)).status, 408);
 });
@@ -276,14 +280,17 @@
   "a half-closed socket is closed cleanly, as its caller's end",
   async () => {
     const before = await bench.getCounters();
-    const answer = await sendRaw(formatRequest({ body: ASKED }), true);
+    const answer = await sendRaw(
+      formatRequest({ body: COMPLETION_BODY }),
+      true,
+    );
     assert.is(answer.text, "");
     await bench.waitForCounter("refused.callerGone", before);
   },
 );
 
 callers("a half-sent body and an end are no request", async () => {
-  const bytes = formatRequest({ body: ASKED });
+  const bytes = formatRequest({ body: COMPLETION_BODY });
   const answer = await sendRaw(bytes.subarray(0, bytes.length - 3), true);
   assert.ok([0, 400].includes(answer.status), answer.text);
   assert.is((await bench.call()).status, 200);
@@ -303,7 +310,7 @@
 callers("garbage behind a request does not enter its answer", async () => {
   const garbage = Buffer.from("\u0000 garbage\r\n\r\n");
   const request = formatRequest({
-    body: ASKED,
+    body: COMPLETION_BODY,
     headers: { connection: "keep-alive" },
   });
   const answer = await sendRaw(Buffer.concat([request, garbage]));
@@ -436,7 +443,7 @@
 }
 
 function formatRequest(request: RawRequest): Buffer {
-  const body = Buffer.from(request.body ?? ASKED);
+  const body = Buffer.from(request.body ?? COMPLETION_BODY);
   const headers: Record<string, string> = {
     host: "test",
     connection: "close",
--- a/test/contracts/contract_bench.ts
+++ b/test/contracts/contract_bench.ts
@@ -243,11 +243,11 @@
 
   async waitUntil(
     what: string,
-    isHeld: () => boolean | Promise<boolean>,
+    isMet: () => boolean | Promise<boolean>,
   ): Promise<void> {
     const endsAt = performance.now() + WAIT_TIMEOUT_MS;
     while (performance.now() < endsAt) {
-      if (await isHeld()) return;
+      if (await isMet()) return;
       await wait(POLL_INTERVAL_MS);
     }
     throw new Error(`Expected within ${WAIT_TIMEOUT_MS} ms that ${what}`);
--- a/test/contracts/peer_contract_test.ts
+++ b/test/contracts/peer_contract_test.ts
@@ -28,7 +28,7 @@
 const TOO_LARGE_BYTES = 33 * 1_048_576;
 
 /** Revision at which the bench publishes its tables. */
-const HELD_REVISION = 3;
+const PUBLISHED_REVISION = 3;
 const TLS = createTlsSettings("daemon");
 
 interface PeerRow {
@@ -72,7 +72,7 @@
   },
   {
     fault: "tables that are not valid as a whole",
-    bytes: () => encodeTables(1_000, HELD_REVISION),
+    bytes: () => encodeTables(1_000, PUBLISHED_REVISION),
     counters: { "tables.digestMismatch": 1 },
   },
   {
@@ -95,36 +95,36 @@
   },
 ];
 
-const plain = new ContractBench();
+const plaintextBench = new ContractBench();
 const peers = suite("peers");
 
 peers.before(async () => {
-  await plain.start();
+  await plaintextBench.start();
 });
 
 peers.after(async () => {
-  await plain.stop();
+  await plaintextBench.stop();
 });
 
 for (const row of ROWS) {
   peers(row.fault, async () => {
-    const before = await plain.getCounters();
+    const before = await plaintextBench.getCounters();
     const code = await deliver(
-      plain.peersPort,
+      plaintextBench.peersPort,
       row.bytes(),
       credentials.createInsecure(),
       row.path,
     );
     assert.is(code, row.code ?? status.OK);
-    const answer = await plain.call();
+    const answer = await plaintextBench.call();
     assert.is(answer.status, 200, answer.text);
     assert.is(answer.headers.get("x-adapter-version"), "v1");
     if (!row.counters) return;
     for (const counter of Object.keys(row.counters)) {
-      await plain.waitForCounter(counter, before);
+      await plaintextBench.waitForCounter(counter, before);
     }
     const { "host_list.stale": _polls, ...gained } = subtractCounters(
-      await plain.getCounters(),
+      await plaintextBench.getCounters(),
       before,
     );
     assert.equal(gained, row.counters);
--- a/test/contracts/peer_messages.ts
+++ b/test/contracts/peer_messages.ts
@@ -7,7 +7,7 @@
   PeerMessageSchema,
 } from "../../src/protocol/generated/peer_pb.ts";
 
-const STRANGER = "entry-9";
+const UNKNOWN_PEER = "entry-9";
 /** An envelope's field 2 of one message, whose field 100 is empty. */
 const UNKNOWN_KIND = new Uint8Array([0x12, 3, 0xa2, 6, 0]);
 
@@ -20,7 +20,7 @@
 export function listEmptyMessages(): { kind: string; bytes: Uint8Array }[] {
   return PeerMessageSchema.fields.map((field) => {
     const envelope = {
-      from: STRANGER,
+      from: UNKNOWN_PEER,
       messages: [{ body: { case: field.localName, value: {} } }],
     };
     const wire = create(EnvelopeSchema, envelope as unknown as Envelope);
@@ -31,7 +31,7 @@
 /** Returns a request for a lease on an upstream that nobody has. */
 export function createLeaseRequest(): Uint8Array {
   return encodeEnvelope({
-    from: STRANGER,
+    from: UNKNOWN_PEER,
     messages: [{
       kind: "leaseRequest",
       leaseRequestId: "request-1",
@@ -66,7 +66,7 @@
     removedPools: [],
   };
   return encodeEnvelope({
-    from: STRANGER,
+    from: UNKNOWN_PEER,
     messages: [{
       kind: "tablesTransfer",
       tablesDeltas: [delta],
--- a/test/contracts/platform_contract_test.ts
+++ b/test/contracts/platform_contract_test.ts
@@ -16,13 +16,13 @@
   await bench.stop();
 });
 
-interface EditRow {
+interface ConfigurationRow {
   fault: string;
   /** Breaks the service or publishes what cannot be taken. */
   arrange: (bench: ContractBench) => void;
   counter: string;
   /** Mends what was broken. */
-  mend?: (bench: ContractBench) => void;
+  repair?: (bench: ContractBench) => void;
 }
 
 const ROUTES_FAULTS: [string, Record<string, unknown>][] = [
@@ -34,7 +34,7 @@
   ["value of another type", { maxRunMs: "long" }],
 ];
 
-const EDIT_ROWS: EditRow[] = [
+const CONFIGURATION_ROWS: ConfigurationRow[] = [
   ...ROUTES_FAULTS.map(([fault, route]) => ({
     fault: `invalid revision: ${fault}`,
     arrange: (bench: ContractBench) => bench.publishTables(route),
@@ -67,13 +67,13 @@
       bench.publishTables();
     },
     counter: "platform_unread.readTables",
-    mend: ({ configuration }) => configuration.faults.tornReads = 0,
+    repair: ({ configuration }) => configuration.faults.tornReads = 0,
   },
   {
     fault: "service down",
     arrange: ({ configuration }) => configuration.setDown(true),
     counter: "platform_unread.readTables",
-    mend: ({ configuration }) => configuration.setDown(false),
+    repair: ({ configuration }) => configuration.setDown(false),
   },
   {
     fault: "answers that are no JSON",
@@ -82,7 +82,7 @@
       configuration.dropConnections();
     },
     counter: "platform_unread.readTables",
-    mend: ({ configuration }) => configuration.faults.isGarbled = false,
+    repair: ({ configuration }) => configuration.faults.isGarbled = false,
   },
   {
     fault: "service stale",
@@ -91,7 +91,7 @@
       configuration.dropConnections();
     },
     counter: "tables.stale",
-    mend: ({ configuration }) => configuration.faults.staleAtRevision = 0,
+    repair: ({ configuration }) => configuration.faults.staleAtRevision = 0,
   },
 ];
 
@@ -104,7 +104,7 @@
   return lines.join("\n");
 }
 
-for (const row of EDIT_ROWS) {
+for (const row of CONFIGURATION_ROWS) {
   platform(`configuration: ${row.fault}`, async ({ bench }) => {
     await bench.start();
     const before = await bench.getCounters();
@@ -114,7 +114,7 @@
     const meanwhile = await bench.call();
     assert.is(meanwhile.headers.get("x-adapter-version"), "v1");
     assert.ok((await bench.getStatus()).tablesRevision >= tablesRevision);
-    row.mend?.(bench);
+    row.repair?.(bench);
     bench.publishTables({ version: "v2" });
     await bench.waitUntil("the next good revision is in force", async () => {
       const answer = await bench.call();
--- a/test/contracts/service_contract_test.ts
+++ b/test/contracts/service_contract_test.ts
@@ -5,7 +5,7 @@
 import { ContractBench, subtractCounters } from "./contract_bench.ts";
 
 const TICKET_LIFETIME_MS = 1_000;
-const MAX_KEPT_BODY_BYTES = 65_536;
+const MAX_STORED_BODY_BYTES = 65_536;
 
 const bench = new ContractBench({ engines: 0, route: { maxRunMs: 2_000 } });
 
@@ -183,29 +183,29 @@
 services(
   "a settled ticket is remembered for its lifetime, then expired",
   async () => {
-    const forgetful = new ContractBench({
+    const shortLivedBench = new ContractBench({
       engines: 0,
       settings: { core: { ticketLifetimeMs: TICKET_LIFETIME_MS } },
     });
-    await forgetful.start();
+    await shortLivedBench.start();
     const call = { path: "/v1/services/unlock", body: { lantern: 1 } };
-    const ticket = (await forgetful.call(call)).refusal?.ticket ?? "";
-    assert.is((await forgetful.call({ ...call, ticket })).status, 200);
-    await forgetful.waitUntil("the ticket expires", async () => {
-      const answer = await forgetful.call({ ...call, ticket });
+    const ticket = (await shortLivedBench.call(call)).refusal?.ticket ?? "";
+    assert.is((await shortLivedBench.call({ ...call, ticket })).status, 200);
+    await shortLivedBench.waitUntil("the ticket expires", async () => {
+      const answer = await shortLivedBench.call({ ...call, ticket });
       if (answer.status === 200) return false;
       assert.is(answer.status, 410);
       assert.is(answer.refusal?.reason, "ticketExpired");
       assert.is(answer.refusal?.outcome, "mayHaveRun");
       return true;
     });
-    assert.is(forgetful.service.ran.length, 1);
-    await forgetful.stop();
+    assert.is(shortLivedBench.service.ran.length, 1);
+    await shortLivedBench.stop();
   },
 );
 
 services("an answer too large to keep is not replayed", async () => {
-  const body = { note: "x".repeat(MAX_KEPT_BODY_BYTES) };
+  const body = { note: "x".repeat(MAX_STORED_BODY_BYTES) };
   const call = { path: "/v1/services/unlock", body };
   const ticket = (await bench.call(call)).refusal?.ticket ?? "";
   assert.is((await bench.call({ ...call, ticket })).status, 200);
--- a/test/daemon/sse_inspector_test.ts
+++ b/test/daemon/sse_inspector_test.ts
@@ -40,7 +40,7 @@
   const inspector = new SseInspector();
   inspector.push(Buffer.from('data: {"model":"a@v1"}\n\ndata: {"n"'));
   assert.is(inspector.eventCount, 1);
-  inspector.dropPartial();
+  inspector.dropIncompleteEvent();
   const rest = inspector.push(Buffer.from("data: [DONE]\n\n"));
   assert.is(rest?.toString(), "data: [DONE]\n\n");
   assert.ok(inspector.isComplete());
--- a/test/daemon/upstream_task_test.ts
+++ b/test/daemon/upstream_task_test.ts
@@ -15,7 +15,7 @@
 const ROUTE = { name: "briefing", priority: "standard" } as RouteStructure;
 
 /** Starts an engine that never answers a run and knows of none to cancel. */
-function startSilentEngine(cancelStatus: number): Promise<Server> {
+function startUnresponsiveEngine(cancelStatus: number): Promise<Server> {
   const server = createServer((request, response) => {
     request.resume();
     if (request.method === "DELETE") response.writeHead(cancelStatus).end("{}");
@@ -50,7 +50,7 @@
   ]
 ) {
   test(`a cancellation answered with ${status} before any answer leaves the attempt ${result}`, async () => {
-    const server = await startSilentEngine(status);
+    const server = await startUnresponsiveEngine(status);
     const bus = createBus();
     const exchanges = new ExchangeRegistry();
     exchanges.add({
