--- a/src/charts/daemon_chart.ts
+++ b/src/charts/daemon_chart.ts
@@ -1,5 +1,5 @@
 /** Life of a daemon, from its start to its stop. */
-import { StateChart, type StateChartDefinition } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type DaemonState = "starting" | "serving" | "stopping" | "stopped";
 export type DaemonTrigger = "tablesInForce" | "stopRequested" | "drained";
--- a/src/charts/owner_chart.ts
+++ b/src/charts/owner_chart.ts
@@ -1,5 +1,5 @@
 /** Life of the ownership of one upstream in one daemon. */
-import { StateChart, type StateChartDefinition } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type OwnerState = "reading" | "claiming" | "owning" | "deposed";
 export type OwnerTrigger =
--- a/src/charts/request_chart.ts
+++ b/src/charts/request_chart.ts
@@ -1,5 +1,5 @@
 /** Life of a request in its entry daemon. */
-import { StateChart, type StateChartDefinition } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type RequestState =
   | "claimingTicket"
--- a/src/charts/slot_chart.ts
+++ b/src/charts/slot_chart.ts
@@ -1,5 +1,5 @@
 /** Life of an adapter slot, as its upstream's owner sees it. */
-import { StateChart, type StateChartDefinition } from "./chart.ts";
+import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type SlotState =
   | "loading"
--- a/src/core/control_plane.ts
+++ b/src/core/control_plane.ts
@@ -7,7 +7,7 @@
 import { rankByRendezvous } from "./hashing.ts";
 import type { Membership } from "./membership/membership.ts";
 import { PeerProtocol } from "./membership/peer_protocol.ts";
-import { PlatformReaderElection } from "./membership/platform_readers.ts";
+import { PlatformReaderElection } from "./membership/platform_reader_election.ts";
 import type {
   ControlMessage,
   EvictionDigest,
@@ -22,7 +22,7 @@
   TablesStructure,
 } from "./structures.ts";
 import { RevisionSource, TableExchange } from "./tables/table_exchange.ts";
-import type { TableReplica } from "./tables/table_keeper.ts";
+import type { TableReplica } from "./tables/table_replica.ts";
 
 export interface ControlPlaneOptions {
   selfId: string;
--- a/src/core/daemon_core.ts
+++ b/src/core/daemon_core.ts
@@ -14,7 +14,7 @@
 import type { Effect } from "./effects.ts";
 import type { CoreEvent, RequestArrivedEvent } from "./events.ts";
 import { RequestExecutor } from "./execution/request_executor.ts";
-import { TicketIssuer } from "./execution/ticket_book.ts";
+import { TicketIssuer } from "./execution/ticket_issuer.ts";
 import { CrashQuarantine } from "./limits/crash_quarantine.ts";
 import { RetryBudget } from "./limits/retry_budget.ts";
 import { Membership } from "./membership/membership.ts";
@@ -25,7 +25,7 @@
 import { OwnedUpstreams } from "./residency/owned_upstreams.ts";
 import type { RankedUpstream } from "./routing/upstream_selector.ts";
 import type { HostStructure, Milliseconds } from "./structures.ts";
-import { TableReplica } from "./tables/table_keeper.ts";
+import { TableReplica } from "./tables/table_replica.ts";
 import type { TableSnapshot } from "./tables/table_snapshot.ts";
 
 export interface DaemonCoreOptions {
--- a/src/core/execution/attempt_runner.ts
+++ b/src/core/execution/attempt_runner.ts
@@ -7,16 +7,16 @@
   RetryReason,
 } from "../outcomes.ts";
 import { type Milliseconds, PoolKind } from "../structures.ts";
-import { CrashDetector, type RunningAttempt } from "./attempt_examiner.ts";
+import { CrashDetector, type RunningAttempt } from "./crash_detector.ts";
 import {
   DEFAULT_RETRY_AFTER_MS,
   type ExecutionContext,
 } from "./execution_context.ts";
-import type { LeaseClient } from "./lease_book.ts";
-import type { TakenCredit } from "./lease_holding.ts";
+import type { LeaseClient } from "./lease_client.ts";
+import type { TakenCredit } from "./lease_group.ts";
 import type { LiveRequest } from "./live_request.ts";
 import type { RequestAssigner } from "./request_assigner.ts";
-import type { RequestFinisher } from "./request_concluder.ts";
+import type { RequestFinisher } from "./request_finisher.ts";
 
 /** Status with which an engine says that it does not hold the adapter. */
 const NOT_RESIDENT_STATUS = 404;
--- a/src/core/execution/execution_context.ts
+++ b/src/core/execution/execution_context.ts
@@ -2,15 +2,15 @@
 import type { CorePolicy } from "../core_policy.ts";
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
-import { IdGenerator } from "../id_source.ts";
+import { IdGenerator } from "../id_generator.ts";
 import type { CrashQuarantine } from "../limits/crash_quarantine.ts";
 import type { RetryBudget } from "../limits/retry_budget.ts";
 import type { Membership } from "../membership/membership.ts";
 import { Outcome, type RefusalReason, type RetryReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { TableReplica } from "../tables/table_keeper.ts";
+import type { TableReplica } from "../tables/table_replica.ts";
 import type { LiveRequest } from "./live_request.ts";
-import type { TicketIssuer } from "./ticket_book.ts";
+import type { TicketIssuer } from "./ticket_issuer.ts";
 
 export interface RequestExecutorOptions {
   selfId: string;
--- a/src/core/execution/lease_book.ts
+++ b/src/core/execution/lease_client.ts
@@ -11,8 +11,8 @@
   type CreditReturn,
   LeaseGroup,
   type TakenCredit,
-} from "./lease_holding.ts";
-import { LeaseGroupTable } from "./holding_table.ts";
+} from "./lease_group.ts";
+import { LeaseGroupTable } from "./lease_group_table.ts";
 import type { LiveRequest } from "./live_request.ts";
 
 /** What the book asks of its surroundings. */
--- a/src/core/execution/holding_table.ts
+++ b/src/core/execution/lease_group_table.ts
@@ -1,5 +1,5 @@
 /** The holdings of leases by their key, with an index by upstream. */
-import type { LeaseGroup } from "./lease_holding.ts";
+import type { LeaseGroup } from "./lease_group.ts";
 
 export class LeaseGroupTable {
   readonly #byKey = new Map<string, LeaseGroup>();
--- a/src/core/execution/live_request.ts
+++ b/src/core/execution/live_request.ts
@@ -12,7 +12,7 @@
   PoolStructure,
   RouteStructure,
 } from "../structures.ts";
-import type { TakenCredit } from "./lease_holding.ts";
+import type { TakenCredit } from "./lease_group.ts";
 import { UpstreamExclusions } from "./upstream_exclusions.ts";
 
 export interface LiveAttempt {
--- a/src/core/execution/request_assigner.ts
+++ b/src/core/execution/request_assigner.ts
@@ -22,9 +22,9 @@
   type ExecutionContext,
 } from "./execution_context.ts";
 import { listShortlist } from "../routing/upstream_shortlist.ts";
-import type { LeaseClient } from "./lease_book.ts";
+import type { LeaseClient } from "./lease_client.ts";
 import type { LiveRequest } from "./live_request.ts";
-import type { RequestFinisher } from "./request_concluder.ts";
+import type { RequestFinisher } from "./request_finisher.ts";
 import type { UpstreamExclusions } from "./upstream_exclusions.ts";
 
 /** Time for which a request waits while no upstream of its pool is ready. */
--- a/src/core/execution/request_executor.ts
+++ b/src/core/execution/request_executor.ts
@@ -24,10 +24,10 @@
   ExecutionContext,
   type RequestExecutorOptions,
 } from "./execution_context.ts";
-import { LeaseClient } from "./lease_book.ts";
+import { LeaseClient } from "./lease_client.ts";
 import { LiveRequest } from "./live_request.ts";
 import { RequestAssigner } from "./request_assigner.ts";
-import { RequestFinisher } from "./request_concluder.ts";
+import { RequestFinisher } from "./request_finisher.ts";
 import { UpstreamExclusions } from "./upstream_exclusions.ts";
 import { TicketAdmission } from "./ticket_admission.ts";
 
--- a/src/core/execution/request_concluder.ts
+++ b/src/core/execution/request_finisher.ts
@@ -2,7 +2,7 @@
 import { Outcome, type RefusalReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { ExecutionContext, Refusal } from "./execution_context.ts";
-import type { LeaseClient } from "./lease_book.ts";
+import type { LeaseClient } from "./lease_client.ts";
 import type { LiveRequest } from "./live_request.ts";
 import type { TicketAdmission } from "./ticket_admission.ts";
 
--- a/src/core/execution/ticket_admission.ts
+++ b/src/core/execution/ticket_admission.ts
@@ -8,7 +8,7 @@
   type Refusal,
 } from "./execution_context.ts";
 import type { LiveRequest } from "./live_request.ts";
-import { parseTicket } from "./ticket_book.ts";
+import { parseTicket } from "./ticket_issuer.ts";
 import { TicketSettler } from "./ticket_settler.ts";
 
 /** What the admission asks of its surroundings. */
--- a/src/core/membership/failure_detector.ts
+++ b/src/core/membership/failure_detector.ts
@@ -18,7 +18,7 @@
 import {
   type ControlIntervals,
   PIGGYBACKED_MEMBERS,
-} from "./control_periods.ts";
+} from "./control_intervals.ts";
 import {
   describeMember,
   type Member,
--- a/src/core/membership/link_manager.ts
+++ b/src/core/membership/link_manager.ts
@@ -14,12 +14,12 @@
   StrikeDigest,
 } from "../messages.ts";
 import type { Milliseconds, PoolStructure } from "../structures.ts";
-import type { ControlIntervals } from "./control_periods.ts";
+import type { ControlIntervals } from "./control_intervals.ts";
 import {
   estimateContentBytes,
   type LinkContent,
   LinkSender,
-} from "./domain_link.ts";
+} from "./link_sender.ts";
 import type { HostDirectory } from "./host_directory.ts";
 import { LinkReceiver, type RemoteState } from "./link_receiver.ts";
 import type { ViewStore } from "./view_store.ts";
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -21,7 +21,7 @@
 import { hasLoadChanged, hasResidencyChanged } from "./digest_size.ts";
 import { HostDirectory } from "./host_directory.ts";
 import { type Member, MemberTable, MergeResult } from "./member_table.ts";
-import type { ReaderCandidate } from "./platform_readers.ts";
+import type { ReaderCandidate } from "./platform_reader_election.ts";
 import { type UpstreamView, ViewStore } from "./view_store.ts";
 
 export type { UpstreamView } from "./view_store.ts";
--- a/src/core/membership/peer_protocol.ts
+++ b/src/core/membership/peer_protocol.ts
@@ -26,14 +26,14 @@
   type UpstreamDigest,
 } from "../messages.ts";
 import type { Milliseconds, PoolStructure } from "../structures.ts";
-import { ControlIntervals } from "./control_periods.ts";
+import { ControlIntervals } from "./control_intervals.ts";
 import { FailureDetector } from "./failure_detector.ts";
 import { LinkManager } from "./link_manager.ts";
 import type { Membership } from "./membership.ts";
-import { UpdateDisseminator } from "./spreader.ts";
+import { UpdateDisseminator } from "./update_disseminator.ts";
 import { StateExchange } from "./state_exchange.ts";
 import { StatePublisher } from "./state_publisher.ts";
-import { StrikeDisseminator } from "./strike_spreader.ts";
+import { StrikeDisseminator } from "./strike_disseminator.ts";
 
 /** Time between requests of a daemon that joins, and peers asked each time. */
 const JOIN_RETRY_MS = 300;
--- a/src/core/membership/state_publisher.ts
+++ b/src/core/membership/state_publisher.ts
@@ -13,8 +13,8 @@
   type UpstreamDigest,
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { ByteTokenBucket } from "./byte_budget.ts";
-import type { ControlIntervals } from "./control_periods.ts";
+import { ByteTokenBucket } from "./byte_token_bucket.ts";
+import type { ControlIntervals } from "./control_intervals.ts";
 import {
   estimateDigestBytes,
   hasLoadChanged,
--- a/src/core/membership/strike_spreader.ts
+++ b/src/core/membership/strike_disseminator.ts
@@ -1,7 +1,7 @@
 /** Passes on the strikes of requests that crash upstreams: new ones at once, the others in turn with probes. */
 import type { StrikeDigest } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import type { UpdateDisseminator } from "./spreader.ts";
+import type { UpdateDisseminator } from "./update_disseminator.ts";
 
 /** Strikes that one probe carries. */
 const MAX_PROBE_STRIKES = 4;
--- a/src/core/membership/spreader.ts
+++ b/src/core/membership/update_disseminator.ts
@@ -10,7 +10,7 @@
   TablesDelta,
 } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
-import { listDisseminationTargets } from "./spread_ring.ts";
+import { listDisseminationTargets } from "./dissemination_tree.ts";
 
 /** Time for which urgent updates wait for others. */
 const URGENT_BATCHING_MS = 15;
--- a/src/core/residency/owned_upstreams.ts
+++ b/src/core/residency/owned_upstreams.ts
@@ -8,7 +8,7 @@
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
 import type { OrderResult } from "../events.ts";
-import { IdGenerator } from "../id_source.ts";
+import { IdGenerator } from "../id_generator.ts";
 import type { Membership } from "../membership/membership.ts";
 import type {
   EvictionDigest,
@@ -22,7 +22,7 @@
   Milliseconds,
   PoolStructure,
 } from "../structures.ts";
-import type { TableReplica } from "../tables/table_keeper.ts";
+import type { TableReplica } from "../tables/table_replica.ts";
 import { AdapterPopularity } from "./adapter_popularity.ts";
 import type { StorePermit, StorePermitClient } from "./store_permit_client.ts";
 import type { OwnedUpstreamDescription } from "./owner_description.ts";
--- a/src/core/residency/store_permit_client.ts
+++ b/src/core/residency/store_permit_client.ts
@@ -6,7 +6,7 @@
  */
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
-import { IdGenerator } from "../id_source.ts";
+import { IdGenerator } from "../id_generator.ts";
 import { DEAD_TIMEOUT_RATIO } from "../membership/failure_detector.ts";
 import type { Membership } from "../membership/membership.ts";
 import type {
--- a/src/core/tables/chunk_sender.ts
+++ b/src/core/tables/chunk_cache.ts
@@ -6,7 +6,7 @@
 } from "../messages.ts";
 import type { HostListSnapshot } from "./host_list_snapshot.ts";
 import { buildChunks, getSectionRows, type SectionRow } from "./row_chunks.ts";
-import type { TableReplica } from "./table_keeper.ts";
+import type { TableReplica } from "./table_replica.ts";
 import type { TableSnapshot } from "./table_snapshot.ts";
 
 type TableSection = "customers" | "routes" | "pools" | "hosts";
--- a/src/core/tables/table_exchange.ts
+++ b/src/core/tables/table_exchange.ts
@@ -22,8 +22,8 @@
   TablesStructure,
 } from "../structures.ts";
 import { ChunkCollector, type RequestedChunk } from "./chunk_collector.ts";
-import { ChunkCache } from "./chunk_sender.ts";
-import type { OfferResult, TableReplica } from "./table_keeper.ts";
+import { ChunkCache } from "./chunk_cache.ts";
+import type { OfferResult, TableReplica } from "./table_replica.ts";
 
 /** Time between requests for tables. */
 const TABLES_REQUEST_INTERVAL_MS = 300;
--- a/src/daemon/caller_task.ts
+++ b/src/daemon/caller_task.ts
@@ -10,7 +10,7 @@
 import type { DaemonSettings } from "../settings/daemon_settings.ts";
 import type { Bus } from "./bus.ts";
 import { CallerExchange } from "./caller_exchange.ts";
-import { handleConnectionErrors } from "./connection_guard.ts";
+import { handleConnectionErrors } from "./connection_errors.ts";
 import type { ExchangeRegistry } from "./exchange.ts";
 import { close, createHttpServer, listen } from "./http_server.ts";
 import { parseJsonObject } from "./json_body.ts";
--- a/src/daemon/upstream_task.ts
+++ b/src/daemon/upstream_task.ts
@@ -23,7 +23,7 @@
 import { describeError, getErrorCode, isConnectError } from "./step_error.ts";
 import { StreamForwarder } from "./stream_forwarder.ts";
 import { cancelRun, fetchState, sendOrder } from "./upstream_orders.ts";
-import { resumeStream } from "./upstream_resume.ts";
+import { resumeStream } from "./upstream_resumption.ts";
 
 const CONNECT_TIMEOUT_MS = 1_000;
 /** Timers may fire this much early. */
--- a/src/gateway/attempt_runner.ts
+++ b/src/gateway/attempt_runner.ts
@@ -6,7 +6,7 @@
  */
 import { Buffer } from "node:buffer";
 import type { IncomingMessage } from "node:http";
-import { AttemptOutcome } from "../core/execution/attempt_verdict.ts";
+import { AttemptOutcome } from "../core/execution/retry_decision.ts";
 import { HealthSignal } from "../core/placement/upstream_health.ts";
 import type { Milliseconds } from "../core/structures.ts";
 import type { PublishedUpstream } from "../core/view/published_view.ts";
--- a/src/gateway/engine_selector.ts
+++ b/src/gateway/engine_selector.ts
@@ -11,7 +11,7 @@
 } from "../core/admission/admission_controller.ts";
 import { DEFAULT_PREFILL_TOKENS_PER_MS } from "../core/admission/batch_capacity.ts";
 import { computeMaxPermitWaitMs } from "../core/admission/permit_wait.ts";
-import { AttemptOutcome } from "../core/execution/attempt_verdict.ts";
+import { AttemptOutcome } from "../core/execution/retry_decision.ts";
 import { formatAdapterPath } from "../core/placement/adapter_path.ts";
 import {
   type DomainDemand,
--- a/src/gateway/request_context.ts
+++ b/src/gateway/request_context.ts
@@ -1,8 +1,8 @@
 /** The objects that the parts of the gateway share to serve requests. */
 import type { FleetView } from "../core/fleet/fleet_view.ts";
-import type { ResponseMemoryBudget } from "../core/limits/answer_memory.ts";
+import type { ResponseMemoryBudget } from "../core/limits/response_memory_budget.ts";
 import type { CrashQuarantine } from "../core/limits/crash_quarantine.ts";
-import type { FleetRetryBudget } from "../core/limits/repeat_allowance.ts";
+import type { FleetRetryBudget } from "../core/limits/fleet_retry_budget.ts";
 import type { AdapterDemand } from "../core/placement/adapter_demand.ts";
 import type { DomainReachability } from "../core/placement/domain_reachability.ts";
 import type { UpstreamBackoff } from "../core/placement/upstream_backoff.ts";
--- a/src/gateway/request_handler.ts
+++ b/src/gateway/request_handler.ts
@@ -10,7 +10,7 @@
   decideRetry,
   isIdempotent,
   type RetryDecision,
-} from "../core/execution/attempt_verdict.ts";
+} from "../core/execution/retry_decision.ts";
 import { EventSplitter } from "../core/execution/event_splitter.ts";
 import { HealthSignal } from "../core/placement/upstream_health.ts";
 import { rankServiceUpstreams } from "../core/placement/upstream_ranking.ts";
--- a/test/core/execution/attempt_runner_test.ts
+++ b/test/core/execution/attempt_runner_test.ts
@@ -2,7 +2,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { StrikeDigest } from "../../../src/core/messages.ts";
-import { PEER_DOMAIN, SingleDaemon } from "../lone_daemon.ts";
+import { PEER_DOMAIN, SingleDaemon } from "../single_daemon.ts";
 
 const PEER = "entry-2";
 /** Far more than an engine's owner lets run beside each other. */
--- a/test/core/execution/attempt_examiner_test.ts
+++ b/test/core/execution/crash_detector_test.ts
@@ -1,7 +1,7 @@
 /** An upstream that died is known to have died, also when the first reading after its death is lost. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { SingleDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../single_daemon.ts";
 
 for (const lostReadings of [0, 1, 2]) {
   test(`a crashing request stops after 2 upstreams with ${lostReadings} readings lost at each`, () => {
--- a/test/core/execution/lease_book_test.ts
+++ b/test/core/execution/lease_client_test.ts
@@ -4,7 +4,7 @@
 import { DEFAULT_CORE_SETTINGS } from "../../../src/core/core_settings.ts";
 import type { Effect } from "../../../src/core/effects.ts";
 import { ExecutionContext } from "../../../src/core/execution/execution_context.ts";
-import { LeaseClient } from "../../../src/core/execution/lease_book.ts";
+import { LeaseClient } from "../../../src/core/execution/lease_client.ts";
 import { LiveRequest } from "../../../src/core/execution/live_request.ts";
 import { CrashQuarantine } from "../../../src/core/limits/crash_quarantine.ts";
 import { RetryBudget } from "../../../src/core/limits/retry_budget.ts";
@@ -14,8 +14,8 @@
   PoolStructure,
   RouteStructure,
 } from "../../../src/core/structures.ts";
-import { TableReplica } from "../../../src/core/tables/table_keeper.ts";
-import { TicketIssuer } from "../../../src/core/execution/ticket_book.ts";
+import { TableReplica } from "../../../src/core/tables/table_replica.ts";
+import { TicketIssuer } from "../../../src/core/execution/ticket_issuer.ts";
 
 const UPSTREAM = "engine-1";
 const ADAPTER = "salmon@1";
--- a/test/core/execution/lease_holding_test.ts
+++ b/test/core/execution/lease_group_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { LeaseGroup } from "../../../src/core/execution/lease_holding.ts";
+import { LeaseGroup } from "../../../src/core/execution/lease_group.ts";
 import type { LeaseGrantMessage } from "../../../src/core/messages.ts";
 
 const MARGIN_MS = 100;
--- a/test/core/execution/outcome_test.ts
+++ b/test/core/execution/outcome_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { AttemptResult } from "../../../src/core/outcomes.ts";
-import { SingleDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../single_daemon.ts";
 
 /** How a first attempt ends, and what may be said when no other upstream is left. */
 const FIRST_ATTEMPTS: { result: AttemptResult; outcome: string }[] = [
--- a/test/core/execution/attempt_verdict_test.ts
+++ b/test/core/execution/retry_decision_test.ts
@@ -4,7 +4,7 @@
 import {
   decideRetry,
   type RetryConditions,
-} from "../../../src/core/execution/attempt_verdict.ts";
+} from "../../../src/core/execution/retry_decision.ts";
 
 const BASE: RetryConditions = {
   outcome: "answered",
--- a/test/core/execution/ticket_book_test.ts
+++ b/test/core/execution/ticket_issuer_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { TicketIssuer } from "../../../src/core/execution/ticket_book.ts";
+import { TicketIssuer } from "../../../src/core/execution/ticket_issuer.ts";
 import type {
   ClaimVerdict,
   StoredAnswerStructure,
--- a/test/core/limits/repeat_allowance_test.ts
+++ b/test/core/limits/fleet_retry_budget_test.ts
@@ -1,7 +1,7 @@
 /** Repeats stay within a daemon's share of what all may spend. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { FleetRetryBudget } from "../../../src/core/limits/repeat_allowance.ts";
+import { FleetRetryBudget } from "../../../src/core/limits/fleet_retry_budget.ts";
 
 const OPTIONS = { ratio: 0.2, windowMs: 10_000, slack: 58 };
 
--- a/test/core/limits/answer_memory_test.ts
+++ b/test/core/limits/response_memory_budget_test.ts
@@ -1,7 +1,7 @@
 /** The bound that answers share: short ones always fit, floods are cut, nothing leaks. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { ResponseMemoryBudget } from "../../../src/core/limits/answer_memory.ts";
+import { ResponseMemoryBudget } from "../../../src/core/limits/response_memory_budget.ts";
 
 const FREE = 100;
 const SHARED = 1_000;
--- a/test/core/membership/state_publisher_test.ts
+++ b/test/core/membership/state_publisher_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { ControlIntervals } from "../../../src/core/membership/control_periods.ts";
+import { ControlIntervals } from "../../../src/core/membership/control_intervals.ts";
 import { StatePublisher } from "../../../src/core/membership/state_publisher.ts";
 import type { UpstreamDigest } from "../../../src/core/messages.ts";
 
--- a/test/core/residency/pending_orders_test.ts
+++ b/test/core/residency/pending_orders_test.ts
@@ -1,7 +1,7 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { DEFAULT_CORE_SETTINGS } from "../../../src/core/core_settings.ts";
-import { SingleDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../single_daemon.ts";
 
 test("an order expires before another daemon could own the upstream", () => {
   const daemon = new SingleDaemon(["engine-1"]);
--- a/test/core/residency/unleased_runs_test.ts
+++ b/test/core/residency/unleased_runs_test.ts
@@ -1,6 +1,6 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { SingleDaemon } from "../lone_daemon.ts";
+import { SingleDaemon } from "../single_daemon.ts";
 
 /**
  * Time after which an owner that has seen no sign of another owner may evict.
--- a/test/core/tables/table_delta_test.ts
+++ b/test/core/tables/table_delta_test.ts
@@ -14,7 +14,7 @@
   RevisionSource,
   TableExchange,
 } from "../../../src/core/tables/table_exchange.ts";
-import { TableReplica } from "../../../src/core/tables/table_keeper.ts";
+import { TableReplica } from "../../../src/core/tables/table_replica.ts";
 import { TableSnapshot } from "../../../src/core/tables/table_snapshot.ts";
 
 const SIZES = {
--- a/test/core/tables/table_keeper_test.ts
+++ b/test/core/tables/table_replica_test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import type { TablesStructure } from "../../../src/core/structures.ts";
 import { checkTables } from "../../../src/core/tables/table_schema.ts";
-import { TableReplica } from "../../../src/core/tables/table_keeper.ts";
+import { TableReplica } from "../../../src/core/tables/table_replica.ts";
 
 const DIGEST = "a".repeat(64);
 
--- a/test/fuzz/mutants.ts
+++ b/test/fuzz/mutants.ts
@@ -54,7 +54,7 @@
     name: "ignore the dispatch window",
     promise: FuzzPromise.NoEvictionInUse,
     patches: [{
-      file: "execution/lease_holding.ts",
+      file: "execution/lease_group.ts",
       search: "grant.requestSentAtMs + grant.windowMs - marginMs",
       replacement: "now + 60_000",
     }],
@@ -73,7 +73,7 @@
     name: "return the credits of a repeated grant",
     promise: FuzzPromise.NoEvictionInUse,
     patches: [{
-      file: "execution/lease_book.ts",
+      file: "execution/lease_client.ts",
       search: "if (this.#seenLeaseIds.has(grant.leaseId)) return;",
       replacement: "",
     }],
@@ -130,7 +130,7 @@
     name: "grant a ticket twice",
     promise: FuzzPromise.AtMostOnce,
     patches: [{
-      file: "execution/ticket_book.ts",
+      file: "execution/ticket_issuer.ts",
       search: "return createVerdict(claim, ClaimVerdict.InProgress);",
       replacement: "return createVerdict(claim, ClaimVerdict.Granted);",
     }],
@@ -190,7 +190,7 @@
     name: "accept an older revision",
     promise: FuzzPromise.Configuration,
     patches: [{
-      file: "tables/table_keeper.ts",
+      file: "tables/table_replica.ts",
       search: "if (tables.revision <= this.getTablesRevision())",
       replacement: "if (tables.revision === this.getTablesRevision())",
     }],
@@ -199,7 +199,7 @@
     name: "never take the tables again",
     promise: FuzzPromise.Configuration,
     patches: [{
-      file: "tables/table_keeper.ts",
+      file: "tables/table_replica.ts",
       search: "if (tables.revision <= this.getTablesRevision())",
       replacement: "if (this.getTablesRevision() > 0)",
     }],
@@ -226,7 +226,7 @@
     name: "never ask an owner again",
     promise: FuzzPromise.Liveness,
     patches: [{
-      file: "execution/lease_book.ts",
+      file: "execution/lease_client.ts",
       search: "now - pending.sentAt >= settings.leaseReplyTimeoutMs",
       replacement: "false",
     }, {
--- a/test/gateway/gateway_harness.ts
+++ b/test/gateway/gateway_harness.ts
@@ -15,7 +15,7 @@
 } from "../../fakes/platform_configuration.ts";
 import { FakePlatformStore } from "../../fakes/fake_platform_store.ts";
 import { EntryDecoder } from "../../platform/entry_decoder.ts";
-import { PlatformHeaderCodec } from "../../platform/header_dialect.ts";
+import { PlatformHeaderCodec } from "../../platform/platform_header_codec.ts";
 import { ReplicaClient } from "../../platform/replica_client.ts";
 import { StoreClient } from "../../platform/store_client.ts";
 import { Gateway } from "../../src/gateway/gateway.ts";
--- a/test/platform/header_dialect_test.ts
+++ b/test/platform/platform_header_codec_test.ts
@@ -1,7 +1,7 @@
 /** Headers of callers and replicas: what is read, dropped, set and passed on. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
-import { PlatformHeaderCodec } from "../../platform/header_dialect.ts";
+import { PlatformHeaderCodec } from "../../platform/platform_header_codec.ts";
 
 const codec = new PlatformHeaderCodec();
 const ATTEMPT = {
