--- a/src/charts/daemon_chart.ts
+++ b/src/charts/daemon_chart.ts
@@ -1,4 +1,4 @@
-/** Life of a daemon, from its start to its stop. */
+/** Lifecycle of a daemon, from start to stop. */
 import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type DaemonState = "starting" | "serving" | "stopping" | "stopped";
--- a/src/charts/owner_chart.ts
+++ b/src/charts/owner_chart.ts
@@ -1,4 +1,4 @@
-/** Life of the ownership of one upstream in one daemon. */
+/** Lifecycle of one daemon's ownership of one upstream. */
 import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type OwnerState = "reading" | "claiming" | "owning" | "deposed";
--- a/src/charts/request_chart.ts
+++ b/src/charts/request_chart.ts
@@ -1,4 +1,4 @@
-/** Life of a request in its entry daemon. */
+/** Lifecycle of a request in its entry daemon. */
 import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type RequestState =
--- a/src/charts/slot_chart.ts
+++ b/src/charts/slot_chart.ts
@@ -1,4 +1,4 @@
-/** Life of an adapter slot, as its upstream's owner sees it. */
+/** Lifecycle of an adapter slot, as tracked by its upstream's owner. */
 import { StateChart, type StateChartDefinition } from "./state_chart.ts";
 
 export type SlotState =
--- a/src/charts/state_chart.ts
+++ b/src/charts/state_chart.ts
@@ -1,10 +1,13 @@
 /**
- * State charts kept as data. xstate interprets each chart once, at the start,
- * into a table of its transitions; the running code looks transitions up.
+ * State charts defined as data. At startup, xstate evaluates each chart once into
+ * a transition table, in which transitions are then looked up.
  */
 import { createMachine, getInitialSnapshot, transition } from "xstate";
 
-/** A flat chart: for each state, the events it takes and where each leads. */
+/**
+ * A chart without nested states: the triggers that each state accepts, with
+ * their target states.
+ */
 export interface StateChartDefinition<
   State extends string,
   Trigger extends string,
@@ -40,7 +43,7 @@
     }
   }
 
-  /** Returns the state that the trigger leads to, or undefined when the state does not take it. */
+  /** Returns the next state, or undefined if the state does not accept the trigger. */
   getNext(state: State, trigger: Trigger): State | undefined {
     return this.#transitions.get(createTransitionKey(state, trigger));
   }
@@ -49,7 +52,7 @@
     const next = this.getNext(state, trigger);
     if (next !== undefined) return next;
     throw new Error(
-      `Expected chart ${this.#id} to take ${trigger} in state ${state}, found no transition`,
+      `Expected chart ${this.#id} to accept trigger ${trigger} in state ${state}, found no transition`,
     );
   }
 }
--- a/src/cli/check_commands.ts
+++ b/src/cli/check_commands.ts
@@ -1,4 +1,4 @@
-/** Commands that check files without a daemon. */
+/** Commands that validate files and need no daemon. */
 import { readFileSync } from "node:fs";
 import type { z } from "zod";
 import { daemonSettingsSchema } from "../settings/daemon_settings.ts";
@@ -7,10 +7,10 @@
 import { parseYamlAs } from "../settings/yaml_file.ts";
 import { ExitCode } from "./exit_codes.ts";
 
-/** Revision under which files are checked that have none yet. */
+/** Revision under which unpublished table files are checked. */
 const PLACEHOLDER_REVISION = 1;
 
-/** Checks table files together; returns the exit code. */
+/** Checks table files as one revision; returns the exit code. */
 export function checkTableFiles(
   fileNames: readonly string[],
   isJson: boolean,
--- a/src/cli/daemon_commands.ts
+++ b/src/cli/daemon_commands.ts
@@ -1,4 +1,4 @@
-/** Commands that show one daemon. */
+/** Commands that print the state of one daemon. */
 import type { DaemonDescription } from "../core/daemon_core.ts";
 import type { RouteStructure } from "../core/structures.ts";
 import type { MetricsSnapshot } from "../daemon/metrics.ts";
@@ -30,12 +30,12 @@
   address: string,
   isJson: boolean,
 ): Promise<ExitCode> {
-  const answer = await fetchFromDaemon<
+  const response = await fetchFromDaemon<
     { revision: number; routes: RouteStructure[] }
   >(address, "/routes");
-  if (answer.isErr()) return reportError(answer.error);
-  const { revision, routes } = answer.value;
-  if (isJson) console.log(JSON.stringify(answer.value));
+  if (response.isErr()) return reportError(response.error);
+  const { revision, routes } = response.value;
+  if (isJson) console.log(JSON.stringify(response.value));
   else {
     console.log(`Revision ${revision}, ${routes.length} routes`);
     for (const route of routes) {
@@ -58,19 +58,19 @@
   route: string,
   isJson: boolean,
 ): Promise<ExitCode> {
-  const answer = await fetchFromDaemon<ExplainResponse>(
+  const response = await fetchFromDaemon<ExplainResponse>(
     address,
     `/explain/${encodeURIComponent(route)}`,
   );
-  if (answer.isErr()) return reportError(answer.error);
+  if (response.isErr()) return reportError(response.error);
   if (isJson) {
-    console.log(JSON.stringify(answer.value));
+    console.log(JSON.stringify(response.value));
     return ExitCode.Success;
   }
-  if (answer.value.upstreams.length === 0) {
-    return reportError(`No upstream stands ready for route ${route}`);
+  if (response.value.upstreams.length === 0) {
+    return reportError(`No upstream is ready for route ${route}`);
   }
-  for (const [index, upstream] of answer.value.upstreams.entries()) {
+  for (const [index, upstream] of response.value.upstreams.entries()) {
     console.log(
       `${index + 1}. ${upstream.id}  ${upstream.residency}  cost ${
         upstream.cost.toFixed(2)
@@ -80,7 +80,7 @@
   return ExitCode.Success;
 }
 
-/** Formats a status for reading. */
+/** Formats a status as text. */
 export function formatStatus(status: StatusResponse): string {
   return [
     `${status.id} (${status.failureDomain}) is ${status.state}; tables revision ${status.tablesRevision}, host list revision ${status.hostListRevision}`,
--- a/src/cli/exit_codes.ts
+++ b/src/cli/exit_codes.ts
@@ -6,7 +6,7 @@
   UsageError: 1,
   /** A checked file has faults or cannot be read. */
   FaultsFound: 2,
-  /** The daemon did not answer, or not as asked. */
+  /** The daemon or gateway did not answer, or without the requested content. */
   DaemonFailed: 3,
 } as const;
 export type ExitCode = (typeof ExitCode)[keyof typeof ExitCode];
--- a/src/cli/explain_request_command.ts
+++ b/src/cli/explain_request_command.ts
@@ -1,4 +1,4 @@
-/** The command that leads from a request's id to its cause. */
+/** The `explain-request` command: prints the log records related to one request. */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import { describeError } from "../daemon/step_error.ts";
@@ -10,7 +10,7 @@
   selectRequestRecords,
 } from "./request_trace.ts";
 
-/** Prints what gateways' logs say of a request; returns the exit code. */
+/** Prints the records of gateways' logs related to a request; returns the exit code. */
 export async function printRequestTrace(
   requestId: string,
   fileNames: readonly string[],
@@ -30,7 +30,7 @@
     console.error(
       `Request ${requestId}: expected in ${
         fileNames.join(", ")
-      }, found in none of ${records.length} lines`,
+      }, found in none of ${records.length} log records`,
     );
     return ExitCode.FaultsFound;
   }
--- a/src/cli/gateway_status_command.ts
+++ b/src/cli/gateway_status_command.ts
@@ -1,15 +1,15 @@
-/** The command that shows one gateway, read from its metrics address. */
+/** The `gateway-status` command: prints one gateway's metrics, read from its metrics address. */
 import { ExitCode } from "./exit_codes.ts";
 import { fetchText } from "./operator_client.ts";
 
 const METRIC_PREFIX = "pistachiohatch_";
 const METRICS_PATH = "/metrics";
 
-/** A value of the text format in which metrics are served. */
+/** A sample of the Prometheus text format. */
 export interface MetricSample {
-  /** Name without the product's prefix. */
+  /** Metric name without `pistachiohatch_`. */
   name: string;
-  /** Labels as the text has them, or empty. */
+  /** Label pairs as in the text, without braces; may be empty. */
   labels: string;
   value: number;
 }
@@ -35,7 +35,7 @@
   return ExitCode.Success;
 }
 
-/** Reads the product's gauges and counters; the buckets of histograms are left out. */
+/** Parses the gateway's own metrics; leaves out histogram buckets. */
 export function parseMetricSamples(text: string): MetricSample[] {
   return text.split("\n").flatMap((line) => {
     const match = /^([a-z_]+)(?:\{(.*)\})? (\S+)$/.exec(line);
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' command-line tool. */
+/** Entry point of the operators' command-line tool. */
 import process from "node:process";
 import sade from "sade";
 import { VERSION } from "../settings/version.ts";
@@ -27,16 +27,16 @@
 
 program
   .version(VERSION)
-  .option("--json", "Print JSON, one value a line", false)
+  .option("--json", "Print JSON, one value per line", false)
   .option(
     "--daemon",
-    "Operators' address of the daemon to ask",
+    "Address of the daemon's operators' port",
     "127.0.0.1:7903",
   );
 
 program
   .command("check <tables>")
-  .describe("Check table files as one revision. More files may follow.")
+  .describe("Check one or more table files as one revision.")
   .example("check examples/tables/routes.yaml examples/tables/pools.yaml")
   .action((first: string, options: { _: string[]; json: boolean }) => {
     process.exitCode = checkTableFiles([first, ...options._], options.json);
@@ -80,7 +80,7 @@
 program
   .command("explain <route>")
   .describe(
-    "Show which upstreams a request on the route would go to now, best first.",
+    "Show the upstreams that a request on the route would use now, best first.",
   )
   .example("explain briefing")
   .action(async (route: string, options: DaemonOptions) => {
@@ -102,7 +102,7 @@
 program
   .command("explain-request <id> <log>")
   .describe(
-    "Show what gateways' logs say of a request and its upstreams. More files may follow.",
+    "Show the log records of one or more gateways related to a request and its upstreams.",
   )
   .example("explain-request 9c41d07be2a35f68 host-1.log host-2.log")
   .action(
@@ -118,9 +118,9 @@
 
 program
   .command("watch")
-  .describe("Print a line of status each interval until interrupted.")
+  .describe("Print one line of status per interval until interrupted.")
   .option("--interval-ms", "Time between lines", 1_000)
-  .option("--count", "Lines to print; 0 for no end", 0)
+  .option("--count", "Number of lines to print; 0 for no limit", 0)
   .example("watch --interval-ms 500 --count 10")
   .action(
     async (
@@ -134,13 +134,13 @@
     },
   );
 
-// Without a command the library would take the absence for an error of its own.
+// sade reports a missing command as an error; the help is printed instead.
 const hasArguments = process.argv.length > 2;
 if (!hasArguments) {
   program.help();
   process.exit(ExitCode.UsageError);
 }
-// The library itself answers `--help`, `--version` and wrong use, and exits with 0 or 1.
+// sade handles `--help`, `--version` and usage errors itself and exits with 0 or 1.
 const parsed = program.parse(process.argv, {
   lazy: true,
   unknown: (option) => `Unknown option: ${option}`,
--- a/src/cli/operator_client.ts
+++ b/src/cli/operator_client.ts
@@ -1,11 +1,11 @@
-/** Reads what one daemon or gateway serves to operators. */
+/** HTTP client of the endpoints that daemons and gateways serve to operators. */
 import { Err, Ok, type Result } from "ts-results-es";
 import { type Dispatcher, request } from "undici";
 import { describeError } from "../daemon/step_error.ts";
 
 const TIMEOUT_MS = 3_000;
 
-/** Gets a JSON answer from the daemon's operators' port. */
+/** Fetches JSON from a daemon's operators' port; the error is a message. */
 export function fetchFromDaemon<T>(
   address: string,
   path: string,
@@ -17,7 +17,7 @@
   );
 }
 
-/** Gets an answer as text. */
+/** Fetches a response body as text; the error is a message. */
 export function fetchText(
   address: string,
   path: string,
@@ -43,9 +43,7 @@
     return Ok(await read(response.body));
   } catch (error) {
     return Err(
-      `${address}${path}: expected a daemon's answer, found ${
-        describeError(error)
-      }`,
+      `${address}${path}: expected a response, found ${describeError(error)}`,
     );
   }
 }
--- a/src/cli/request_trace.ts
+++ b/src/cli/request_trace.ts
@@ -1,7 +1,7 @@
 /**
- * Gathers from gateways' logs what bears on one request: its own lines, what was
- * believed and ordered of the upstreams that they name, and what befell the hosts
- * that handled it, in the order of time.
+ * Selects the records of gateways' logs related to one request, in time order:
+ * its own records, those on the state of its upstreams and the orders to them,
+ * and events of the hosts that handled it.
  */
 import * as z from "zod";
 import type { Milliseconds } from "../core/structures.ts";
@@ -15,14 +15,17 @@
   upstream: z.string().optional(),
 }).loose();
 
-/** A line of a gateway's log. */
+/** One record of a gateway's log, which is one line. */
 export type LogRecord = z.infer<typeof recordSchema>;
 
-/** Time before a request's first line in which the cause of its fate may lie: a term and the time to notice a death. */
+/**
+ * Time before a request's first record in which the cause of its outcome may
+ * lie: an ownership term plus the time to detect a dead member.
+ */
 const LOOK_BACK_MS = 5_000;
-/** Time after its last line in which what was decided may show. */
+/** Time after its last record in which effects of its decisions may be logged. */
 const LOOK_AHEAD_MS = 500;
-/** Events of upstreams that bear on the requests there. */
+/** Events of an upstream that can affect the requests sent to it. */
 const UPSTREAM_EVENTS: ReadonlySet<string> = new Set([
   "engineBelief",
   "orderGiven",
@@ -31,7 +34,7 @@
   "upstreamGone",
   "upstreamLapsed",
 ]);
-/** Events of hosts that bear on all their requests. */
+/** Events of a host that can affect all requests that it handles. */
 const HOST_EVENTS: ReadonlySet<string> = new Set([
   "configurationInForce",
   "internalError",
@@ -46,19 +49,19 @@
   "storeRegained",
 ]);
 
-/** Reads one line, which may have a prefix before its JSON; undefined when it is no log line. */
+/** Parses one line, whose JSON may follow a prefix; undefined if it is not a log record. */
 export function parseLogLine(line: string): LogRecord | undefined {
   const start = line.indexOf("{");
   if (start < 0) return undefined;
   try {
     return recordSchema.safeParse(JSON.parse(line.slice(start))).data;
   } catch {
-    // Other programs may write to the same file; what is no JSON is no log line.
+    // Other programs may write to the same file: lines without JSON are skipped.
     return undefined;
   }
 }
 
-/** Returns the records that bear on the request, oldest first; none when it is not named. */
+/** Returns the records related to the request, oldest first; none if no record has its id. */
 export function selectRequestRecords(
   records: readonly LogRecord[],
   requestId: string,
@@ -84,7 +87,7 @@
   return records.filter(isRelated).sort((a, b) => getTimeMs(a) - getTimeMs(b));
 }
 
-/** Returns a record as text: time, host, event and the other fields. */
+/** Formats a record as text: time, host, event and the other fields except the level. */
 export function formatRecord(record: LogRecord): string {
   const { time, level: _level, host, event, ...fields } = record;
   const formattedFields = Object.entries(fields)
--- a/src/cli/watch_command.ts
+++ b/src/cli/watch_command.ts
@@ -1,11 +1,11 @@
-/** The command that prints a line of a daemon's status each interval. */
+/** The `watch` command: prints one line of a daemon's status per interval. */
 import type { StatusResponse } from "./daemon_commands.ts";
 import { ExitCode } from "./exit_codes.ts";
 import { fetchFromDaemon } from "./operator_client.ts";
 
 export interface WatchOptions {
   intervalMs: number;
-  /** Lines to print; 0 for no end. */
+  /** Number of lines to print; 0 for no limit. */
   count: number;
   isJson: boolean;
 }
--- a/src/settings/daemon_settings.ts
+++ b/src/settings/daemon_settings.ts
@@ -50,7 +50,7 @@
   }),
   operators: z.strictObject({
     listen: ADDRESS,
-    /** Whether tests may cut this daemon off from others. */
+    /** Enables the operators' endpoint by which tests cut this daemon off from others. */
     allowCuts: z.boolean().default(false),
   }),
   platform: z.strictObject({
@@ -69,5 +69,5 @@
   core: z.strictObject(coreFields).prefault({}),
 });
 
-/** Settings of one daemon, checked and with defaults filled in. */
+/** Validated settings of one daemon, with defaults applied. */
 export type DaemonSettings = z.infer<typeof daemonSettingsSchema>;
--- a/src/settings/gateway_settings.ts
+++ b/src/settings/gateway_settings.ts
@@ -8,10 +8,13 @@
 );
 const POSITIVE = z.number().positive();
 
-/** Time that requests in progress get beyond the notice of a stop, kept back for the exit. */
+/**
+ * Part of the stop's grace period that is reserved for the exit; requests in
+ * progress must end before it.
+ */
 const DEFAULT_EXIT_RESERVE_MS = 300;
 
-/** The smallest users' sites leave two seconds. */
+/** The users' smallest sites allow two seconds. */
 const DEFAULT_LEAVING_MS = 2_000;
 
 export const gatewaySettingsSchema = z.object({
@@ -20,9 +23,9 @@
   callers: z.object({ listen: ADDRESS }),
   readiness: z.object({ listen: ADDRESS }),
   peers: z.object({
-    /** Where peers ask for the published view. */
+    /** Address at which peers request the published view. */
     listen: ADDRESS,
-    /** UDP port on every host of the fleet. */
+    /** UDP port for peer messages, the same on every host of the fleet. */
     port: z.number().int().positive(),
     /** Addresses of some daemons, which may be stale. */
     seeds: z.array(ADDRESS).default([]),
@@ -30,22 +33,25 @@
   metrics: z.object({ port: z.number().int().positive() }).optional(),
   store: z.object({
     address: ADDRESS,
-    /** Time within which an upstream that leaves gets no new work, from the store's word on. */
+    /**
+     * Time from the store's announcement that an upstream leaves, after which
+     * the upstream must get no new requests.
+     */
     leavingMs: POSITIVE.default(DEFAULT_LEAVING_MS),
   }),
   orders: z.object({
-    /** Time within which two daemons may not take turns in ordering one engine. */
+    /** Ownership term: two daemons must not both give one engine orders within this time. */
     termMs: POSITIVE,
   }),
   repeats: z.object({
-    /** Repeats per request of the window. */
+    /** Retries allowed per request in the window. */
     ratio: z.number().nonnegative(),
     windowMs: POSITIVE,
-    /** Repeats beyond that, over all daemons. */
+    /** Retries allowed in addition, over all daemons. */
     slack: z.number().nonnegative(),
   }),
   stop: z.object({
-    /** Time between the notice of a stop and its end by force. */
+    /** Time from the stop signal until the process is killed. */
     graceMs: POSITIVE,
     exitReserveMs: POSITIVE.default(DEFAULT_EXIT_RESERVE_MS),
   }),
--- a/src/settings/log_level.ts
+++ b/src/settings/log_level.ts
@@ -1,4 +1,4 @@
-/** Levels of the daemon's log, most verbose first. */
+/** Log levels, most verbose first. */
 
 export const LOG_LEVELS = [
   "trace",
--- a/src/settings/table_file_set.ts
+++ b/src/settings/table_file_set.ts
@@ -1,6 +1,6 @@
 /**
- * The table files as last read: parses only those whose text has changed, and
- * finds the rows that changed, so that a small edit of large tables costs little.
+ * Caches parsed table files: parses only those whose text has changed and finds
+ * the rows that changed, so that a small edit of large tables is cheap.
  */
 import type { Result } from "ts-results-es";
 import type { TablesDelta } from "../core/messages.ts";
@@ -28,7 +28,7 @@
   readonly #parsedByName = new Map<string, ParsedFile>();
   #baseline: { revision: number; files: Map<string, ParsedFile> } | undefined;
 
-  /** Parses the file unless its text is known; returns whether it did. */
+  /** Parses the file unless its text is cached; returns whether it was parsed. */
   parseFile({ name, text }: TableFile): boolean {
     if (this.#parsedByName.get(name)?.text === text) return false;
     this.#parsedByName.set(name, { text, parsed: parseTableText(text) });
@@ -42,7 +42,10 @@
     return parseTables(files, revision, (file) => this.#getParsed(file).parsed);
   }
 
-  /** Keeps the files as those of the revision that was taken. */
+  /**
+   * Sets the files of the accepted revision, against which deltas are computed;
+   * drops all others from the cache.
+   */
   setBaseline(files: readonly TableFile[], revision: number): void {
     const parsed = files.map((file): [string, ParsedFile] => [
       file.name,
@@ -55,9 +58,9 @@
   }
 
   /**
-   * Returns the rows that differ from the files kept, unchecked; undefined
-   * when none are kept, the revision is no later than theirs, a file has
-   * faults, or a name stands twice.
+   * Returns the rows that differ from the baseline, not yet validated. Returns
+   * undefined if there is no baseline, the revision is not newer than the
+   * baseline's, a file has errors, or a name occurs twice.
    */
   findDelta(
     files: readonly TableFile[],
@@ -125,7 +128,10 @@
   };
 }
 
-/** Returns the rows of the files by name; undefined when one is malformed or a name stands twice. */
+/**
+ * Returns the rows of the files by name; undefined if a file or row is malformed
+ * or a name occurs twice.
+ */
 function listRows(files: readonly ParsedFile[]): NamedRows | undefined {
   const rows: NamedRows = {
     customers: new Map(),
@@ -148,7 +154,10 @@
   return rows;
 }
 
-/** Returns whether any of the rows stands in one of the files too. */
+/**
+ * Returns whether the name of any of the rows also occurs in one of the files;
+ * true if a file has errors.
+ */
 function hasAnyName(files: readonly ParsedFile[], rows: NamedRows): boolean {
   return files.some(({ parsed }) => {
     if (parsed.isErr()) return true;
--- a/src/settings/table_files.ts
+++ b/src/settings/table_files.ts
@@ -1,6 +1,6 @@
 /**
  * Builds the tables from their YAML files. Any file may hold rows of
- * `customers`, `routes` and `pools`; the rows of all files make one revision.
+ * `customers`, `routes` and `pools`; all files together form one revision.
  */
 import { Buffer } from "node:buffer";
 import { Err, Ok, type Result } from "ts-results-es";
@@ -15,7 +15,7 @@
   text: string;
 }
 
-/** A fault of the tables: the file and line, the path in it, what was expected and what was found. */
+/** An error in the tables: its file, line and path, what was expected and what was found. */
 export interface TableFileFault {
   file: string;
   line: number;
@@ -27,14 +27,14 @@
 const SECTIONS = ["customers", "routes", "pools"] as const;
 type Section = (typeof SECTIONS)[number];
 
-/** Where a row of the joined tables came from. */
+/** The file and index from which a row of the merged tables came. */
 interface RowOrigin {
   fileName: string;
   file: YamlFile;
   index: number;
 }
 
-/** Parses the text of one file, within the bound of a value. */
+/** Parses the text of one file; fails if it exceeds MAX_TABLE_BYTES. */
 export function parseTableText(text: string): Result<YamlFile, FileFault[]> {
   const bytes = Buffer.byteLength(text);
   if (bytes <= MAX_TABLE_BYTES) return parseYaml(text);
@@ -48,7 +48,7 @@
 
 /**
  * Builds the tables of one revision.
- * @param parseText Parses the text of a file; the YAML parser when absent.
+ * @param parseText Parses the text of a file; defaults to the YAML parser.
  */
 export function parseTables(
   files: readonly TableFile[],
--- a/src/settings/version.ts
+++ b/src/settings/version.ts
@@ -1,2 +1,2 @@
-/** Version of the package, as its programs tell it. */
+/** Package version, printed by `--version`. */
 export const VERSION = "0.1.0";
--- a/src/settings/yaml_file.ts
+++ b/src/settings/yaml_file.ts
@@ -1,10 +1,10 @@
-/** Reads YAML text into values, and points faults at lines of the text. */
+/** Parses and validates YAML, and locates errors by line. */
 import { Err, Ok, type Result } from "ts-results-es";
 import { isNode, LineCounter, parseDocument } from "yaml";
 import type { z } from "zod";
 import { describeExpected } from "../core/tables/schema_issue.ts";
 
-/** A fault of a file: where it stands, what was expected and what was found. */
+/** An error in a file: its position, what was expected and what was found. */
 export interface FileFault {
   line: number;
   path: string;
@@ -12,9 +12,10 @@
   found: string;
 }
 
-/** A parsed YAML text that knows the lines of its values. */
+/** A parsed YAML text. */
 export interface YamlFile {
   value: unknown;
+  /** Returns the line of the value at the path, or of its closest ancestor. */
   getLine: (path: readonly (string | number)[]) => number;
 }
 
@@ -40,17 +41,17 @@
   try {
     return Ok({ value: document.toJS(), getLine });
   } catch (error) {
-    // The library refuses aliases that multiply beyond its bound.
+    // The parser rejects aliases that expand beyond its limit.
     return Err([{
       line: 1,
       path: "",
-      expected: "aliases that do not multiply",
+      expected: "aliases that expand within the parser's limit",
       found: error instanceof Error ? error.message : String(error),
     }]);
   }
 }
 
-/** Parses a YAML text and checks it against a schema. */
+/** Parses a YAML text and validates it against a schema. */
 export function parseYamlAs<Schema extends z.ZodType>(
   text: string,
   schema: Schema,
--- a/test/cli/commands_test.ts
+++ b/test/cli/commands_test.ts
@@ -1,4 +1,4 @@
-/** The command-line tool and the daemon's program, as operators start them. */
+/** Runs the command-line tool and the daemon as operators do: exit codes and output. */
 import { spawn } from "node:child_process";
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -56,7 +56,7 @@
 
 interface ProgramRow {
   program?: string;
-  /** Whether the bench's daemon is asked. */
+  /** Whether the command queries the daemon of the test. */
   asksDaemon?: boolean;
   args: string[];
   exitCode: number;
@@ -181,7 +181,7 @@
   ...DAEMON_ROWS.map((row) => ({ ...row, asksDaemon: true })),
 ];
 
-/** Runs every row, a few at a time; the results are in the order of the rows. */
+/** Runs every row, at most MAX_PARALLEL_RUNS at a time; the results are in the order of the rows. */
 function startRuns(rows: readonly ProgramRow[]): Promise<ProgramRun>[] {
   const queues: Promise<unknown>[] = Array(MAX_PARALLEL_RUNS)
     .fill(Promise.resolve());
@@ -198,7 +198,7 @@
 
 for (const [index, row] of ALL_ROWS.entries()) {
   const name = row.program === DAEMON ? "pistachiohatchd" : "pistachiohatch";
-  const target = row.asksDaemon ? " of a daemon" : "";
+  const target = row.asksDaemon ? " with a daemon" : "";
   commands(
     `${name} ${row.args.join(" ").replace(folder, "")}${target}`,
     async () => {
@@ -214,7 +214,7 @@
   return new RegExp(`^pistachiohatchd?, ${version}\n$`);
 }
 
-commands("pistachiohatchd on a port that is taken", async () => {
+commands("pistachiohatchd on a port that is in use", async () => {
   const file = join(folder, "taken.yaml");
   const text = readFileSync(SETTINGS, "utf8")
     .replace("127.0.0.1:7902", `127.0.0.1:${harness.peersPort}`);
@@ -227,7 +227,7 @@
   );
 });
 
-/** Output goes to one of the two streams only. */
+/** Checks the exit code and the output; a stream without a pattern must be empty. */
 function checkRun(run: ProgramRun, row: ProgramRow): void {
   assert.is(run.exitCode, row.exitCode, run.stdout + run.stderr);
   if (row.stdout) assert.match(run.stdout, row.stdout);
--- a/test/cli/gateway_status_test.ts
+++ b/test/cli/gateway_status_test.ts
@@ -1,4 +1,4 @@
-/** What the tool shows of a gateway, read from real metrics. */
+/** What the tool prints of a gateway, read from a real metrics endpoint. */
 import process from "node:process";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -15,14 +15,14 @@
 
 test.after(() => ports.release());
 
-test("gauges and counters are shown with their reasons, buckets are not", async () => {
+test("prints gauges and counters with their labels, without histogram buckets", async () => {
   const metrics = new GatewayMetrics();
   metrics.setGauge("held_engines", 2);
   metrics.count("refusals", "noPlace");
   metrics.measure("first_byte", "stream", 30);
   await metrics.listen("127.0.0.1", PORT);
-  const answer = await fetch(`http://127.0.0.1:${PORT}/metrics`);
-  const samples = parseMetricSamples(await answer.text());
+  const response = await fetch(`http://127.0.0.1:${PORT}/metrics`);
+  const samples = parseMetricSamples(await response.text());
   const exitCode = await printGatewayStatus(`127.0.0.1:${PORT}`, true);
   metrics.close();
   assert.is(exitCode, ExitCode.Success);
@@ -37,7 +37,7 @@
   assert.is(find("first_byte_ms_bucket"), undefined);
 });
 
-test("a gateway that does not answer is told as such", async () => {
+test("fails with DaemonFailed if the gateway does not answer", async () => {
   const exitCode = await printGatewayStatus(`127.0.0.1:${PORT}`, false);
   assert.is(exitCode, ExitCode.DaemonFailed);
 });
--- a/test/cli/request_trace_test.ts
+++ b/test/cli/request_trace_test.ts
@@ -1,4 +1,4 @@
-/** From a request's id to what bears on it in gateways' logs. */
+/** Selects the records of gateways' logs that are related to one request. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
@@ -33,7 +33,7 @@
   createRecord(12, "requestServed", { requestId: "r2", upstream: "i-1" }),
 ];
 
-test("a request's own lines, its upstreams' and its host's are put in order", () => {
+test("selects the records of the request, its upstreams and its host in time order", () => {
   const described = selectRequestRecords(RECORDS, "r1").map((record) =>
     `${record.host} ${record.event}`
   );
@@ -46,11 +46,11 @@
   ]);
 });
 
-test("a request that no line names has no trace", () => {
+test("selects nothing for a request id that no record has", () => {
   assert.equal(selectRequestRecords(RECORDS, "r9"), []);
 });
 
-test("lines with a prefix are read, others passed over", () => {
+test("parses lines with a prefix and skips those without a record", () => {
   const record = createRecord(1, "started");
   assert.equal(parseLogLine(`1.5 host-1 ${JSON.stringify(record)}`), record);
   for (const line of ["", "no log line", "{broken", '{"event":"started"}']) {
@@ -58,7 +58,7 @@
   }
 });
 
-test("a record is one line of text", () => {
+test("formats a record as one line of text", () => {
   const record = createRecord(0, "placeDenied", { requestId: "r", waitMs: 3 });
   assert.is(
     formatRecord(record),
--- a/test/platform/entry_decoder_test.ts
+++ b/test/platform/entry_decoder_test.ts
@@ -1,4 +1,4 @@
-/** Entries of the store, sound ones and those of other writers. */
+/** Decodes valid entries of the platform's store and malformed ones of other writers. */
 import { Buffer } from "node:buffer";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -27,7 +27,7 @@
   models: [{ name: "m", version: 1, adapters: ["a3@2", "a7"] }],
 };
 
-test("a replica becomes an upstream with its adapters", () => {
+test("decodes a replica to an upstream with its adapters", () => {
   const change = decode("servers/i-1", REPLICA);
   assert.is(change.kind, "upstream");
   if (change.kind !== "upstream") return;
@@ -39,23 +39,23 @@
 });
 
 const UNUSABLE: [string, unknown][] = [
-  ["bytes that are no JSON", "\u0000\u0001{"],
+  ["bytes that are not JSON", "\u0000\u0001{"],
   ["no address", { ...REPLICA, addr: undefined }],
-  ["an address that is none", { ...REPLICA, addr: "somewhere" }],
-  ["a state that is not named", { ...REPLICA, state: "resting" }],
-  ["slots of another type", { ...REPLICA, slots: "many" }],
-  ["no service", { ...REPLICA, service: 7 }],
-  ["a birth that is not whole", { ...REPLICA, born: 1.5 }],
-  ["a list", [REPLICA]],
+  ["an invalid address", { ...REPLICA, addr: "somewhere" }],
+  ["an unknown state", { ...REPLICA, state: "resting" }],
+  ["slots that are not a number", { ...REPLICA, slots: "many" }],
+  ["a service that is not a string", { ...REPLICA, service: 7 }],
+  ["a start time that is not an integer", { ...REPLICA, born: 1.5 }],
+  ["a list in place of an object", [REPLICA]],
 ];
 
 for (const [name, value] of UNUSABLE) {
-  test(`an entry with ${name} names no upstream`, () => {
+  test(`decodes an entry with ${name} to unusable`, () => {
     assert.is(decode("servers/i-1", value).kind, "unusable");
   });
 }
 
-test("a removed replica is gone, by its id", () => {
+test("decodes a removed replica to upstreamGone with its id", () => {
   const change = decoder.decode({
     key: "servers/i-1",
     revision: 2,
@@ -64,7 +64,7 @@
   assert.equal(change, { kind: "upstreamGone", id: "i-1" });
 });
 
-test("a configuration is decoded with its limits, engines and split routes", () => {
+test("decodes a configuration with its limits, engines and split routes", () => {
   const change = decode("op/config", {
     version: 7,
     routes: [{
@@ -104,7 +104,7 @@
   assert.is(services[0]?.engine?.models[0]?.loadMs, 600);
 });
 
-test("a version of an adapter is declared by its path", () => {
+test("decodes an adapter version to the adapter's path and version", () => {
   const value = { model: "m", adapter: "a3", version: 5 };
   assert.equal(decode("op/version/m.a3", value), {
     kind: "adapterVersion",
--- a/test/platform/platform_header_codec_test.ts
+++ b/test/platform/platform_header_codec_test.ts
@@ -1,4 +1,4 @@
-/** Headers of callers and replicas: what is read, dropped, set and passed on. */
+/** Headers of callers and replicas: which are decoded, dropped, set and forwarded. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { PlatformHeaderCodec } from "../../platform/platform_header_codec.ts";
@@ -23,7 +23,7 @@
   return map;
 }
 
-test("facts of a request are decoded", () => {
+test("decodes the metadata of a request", () => {
   const metadata = codec.decodeRequestMetadata({
     host: "mill.example:8080",
     "x-request-id": "r1",
@@ -42,7 +42,7 @@
   assert.is(metadata.deadlineMs, 5_000);
 });
 
-test("headers that only the system sets are dropped from callers", () => {
+test("drops reserved headers that callers send and sets its own", () => {
   const reservedHeaders = [
     "X-Hold",
     "X-Pin-Ms",
@@ -61,7 +61,7 @@
   assert.is(sent.get("x-expect-version"), "3");
 });
 
-test("what is the caller's passes unchanged, what concerns one connection does not", () => {
+test("forwards the caller's headers unchanged, without hop-by-hop headers", () => {
   const raw = [
     "Host",
     "mill.example",
@@ -91,7 +91,7 @@
   for (const name of dropped) assert.not(sent.has(name), name);
 });
 
-test("a resumed stream names its last event once", () => {
+test("sends one Last-Event-Id header for a resumed stream", () => {
   const sent = codec.encodeAttemptHeaders(["Last-Event-Id", "4"], {
     ...ATTEMPT,
     lastEventId: "12",
@@ -102,14 +102,14 @@
 });
 
 const RESPONSE_HEAD_ROWS: [string, number, Record<string, string>, object][] = [
-  ["an answer with proof", 200, {
+  ["a response with a response stamp", 200, {
     "x-request-id": "r1",
     "x-response-stamp": "s",
   }, { isForRequest: true, hasResponseStamp: true, notRunReason: undefined }],
-  ["an answer without an id", 200, { "x-response-stamp": "s" }, {
+  ["a response without a request id", 200, { "x-response-stamp": "s" }, {
     isForRequest: false,
   }],
-  ["another request's answer", 200, {
+  ["a response with another request's id", 200, {
     "x-request-id": "r2",
     "x-response-stamp": "s",
   }, { isForRequest: false }],
@@ -118,25 +118,28 @@
     notRunReason: "rejected",
   }],
   [
-    "a failure that ran",
+    "a failed request that ran",
     500,
     { "x-request-id": "r1", "x-response-stamp": "s" },
     { notRunReason: undefined },
   ],
-  ["a misdirected one", 421, {}, { notRunReason: "misdirected" }],
+  ["a misdirected request", 421, {}, { notRunReason: "misdirected" }],
   [
-    "an encoded one",
+    "a response with a content encoding",
     200,
     { "x-request-id": "r1", "content-encoding": "gzip" },
     { hasContentEncoding: true },
   ],
-  ["one with a load", 200, { "x-request-id": "r1", "x-server-load": "3,2,8" }, {
+  ["a response with the server's load", 200, {
+    "x-request-id": "r1",
+    "x-server-load": "3,2,8",
+  }, {
     reportedRunning: 5,
   }],
 ];
 
 for (const [name, status, headers, expected] of RESPONSE_HEAD_ROWS) {
-  test(`the head of ${name} is understood`, () => {
+  test(`decodes the head of ${name}`, () => {
     const head = codec.decodeResponseHead(status, headers, "r1");
     for (const [field, value] of Object.entries(expected)) {
       assert.is(head[field as keyof typeof head], value, field);
@@ -144,7 +147,7 @@
   });
 }
 
-test("the time to come back is given in seconds with fractions", () => {
+test("encodes Retry-After in fractional seconds", () => {
   assert.equal(codec.encodeRefusalHeaders(350), ["Retry-After", "0.350"]);
   assert.equal(codec.encodeRefusalHeaders(undefined), []);
 });
@@ -159,35 +162,35 @@
 
 const NOTICE_ROWS: NoticeRow[] = [
   {
-    name: "none",
+    name: "neither leaving nor backoff",
     status: 200,
     headers: {},
     isLeaving: false,
     backoffMs: undefined,
   },
   {
-    name: "leaving in an answer",
+    name: "leaving in a successful response",
     status: 200,
     headers: { "server-leaving": "1" },
     isLeaving: true,
     backoffMs: undefined,
   },
   {
-    name: "leaving and backing off in a refusal",
+    name: "leaving and backoff in a 503 response",
     status: 503,
     headers: { "server-leaving": "1", "retry-after": "0.25" },
     isLeaving: true,
     backoffMs: 250,
   },
   {
-    name: "a failure with a time is no refusal",
+    name: "no backoff for Retry-After in a 500 response",
     status: 500,
     headers: { "retry-after": "2" },
     isLeaving: false,
     backoffMs: undefined,
   },
   ...["", "soon", "-1", "0"].map((text) => ({
-    name: `the time "${text}"`,
+    name: `no backoff for Retry-After "${text}"`,
     status: 503,
     headers: { "retry-after": text, "server-leaving": "0" },
     isLeaving: false,
@@ -196,7 +199,7 @@
 ];
 
 for (const { name, status, headers, isLeaving, backoffMs } of NOTICE_ROWS) {
-  test(`what a replica says of itself: ${name}`, () => {
+  test(`decodes a replica's state from response headers: ${name}`, () => {
     const head = codec.decodeResponseHead(status, headers, "r1");
     assert.is(head.isLeaving, isLeaving);
     assert.is(head.backoffMs, backoffMs);
--- a/test/settings/examples_test.ts
+++ b/test/settings/examples_test.ts
@@ -1,4 +1,4 @@
-/** The example files load, and name every key of the settings with its default. */
+/** The example files are valid and show every key of the settings with its default. */
 import { readFileSync } from "node:fs";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -14,7 +14,7 @@
 const EXAMPLE = readFileSync("examples/settings/pistachiohatchd.yaml", "utf8");
 const OPERATORS_PAGE = readFileSync("docs/OPERATORS.md", "utf8");
 
-/** Keys that have no default; the examples show a value all the same. */
+/** Keys without a default, for which the examples show a sample value. */
 const KEYS_WITHOUT_DEFAULT = [
   "peers.tls.authorityFile",
   "peers.tls.certificateFile",
@@ -28,7 +28,7 @@
   return settings.unwrap();
 }
 
-/** Takes the comment sign off the lines that show a setting. */
+/** Uncomments the lines that show a setting. */
 function uncomment(text: string): string {
   return text.replace(/^( *)# ( *(?:- )?[a-zA-Z]+:(?: \S+)?)$/gm, "$1$2");
 }
@@ -47,7 +47,7 @@
 const loaded = loadExample(EXAMPLE);
 const defaults = listKeys(loaded);
 
-test("the commented keys are all keys of the settings, with their defaults", () => {
+test("the example shows every key of the settings with its default", () => {
   const shown = listKeys(parse(uncomment(EXAMPLE)));
   loadExample(uncomment(EXAMPLE));
   for (const [key, value] of shown) {
@@ -80,7 +80,7 @@
   return `\`${String(value)}\``;
 }
 
-test("the example tables make a valid revision", () => {
+test("the example tables form a valid revision", () => {
   const files = ["pools", "routes"].map((name) => ({
     name,
     text: readFileSync(`examples/tables/${name}.yaml`, "utf8"),
@@ -98,13 +98,13 @@
 
 const FAULT_ROWS: FaultRow[] = [
   {
-    fault: "host name in place of an IP address",
+    fault: "a host name in place of an IP address",
     change: ["listen: 127.0.0.1:7901", "listen: entry-1:7901"],
     path: "callers.listen",
     expected: /^an IP address and a port$/,
   },
   {
-    fault: "unknown key",
+    fault: "an unknown key",
     change: ["# logLevel: info", "colour: red"],
     path: "",
     expected: /^no key named colour$/,
@@ -116,13 +116,13 @@
     expected: /^a number$/,
   },
   {
-    fault: "unknown level",
+    fault: "an unknown log level",
     change: ["# logLevel: info", "logLevel: loud"],
     path: "logLevel",
     expected: /^one of trace, debug/,
   },
   {
-    fault: "number that is not positive",
+    fault: "a number that is not positive",
     change: ["# tickIntervalMs: 20", "tickIntervalMs: 0"],
     path: "tickIntervalMs",
     expected: /^number to be >0$/,
@@ -130,7 +130,7 @@
 ];
 
 for (const row of FAULT_ROWS) {
-  test(`settings: ${row.fault}`, () => {
+  test(`rejects settings with ${row.fault}`, () => {
     const text = EXAMPLE.replace(...row.change);
     const settings = parseYamlAs(text, daemonSettingsSchema);
     assert.ok(settings.isErr());
--- a/test/settings/gateway_settings_test.ts
+++ b/test/settings/gateway_settings_test.ts
@@ -1,4 +1,4 @@
-/** Settings of the gateway: the example loads, the template fills every key, faults name their line. */
+/** Gateway settings: the example is valid, the filled-in template equals it, errors name their line. */
 import { readFileSync } from "node:fs";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -8,7 +8,7 @@
 const EXAMPLE = readFileSync("examples/settings/gateway.yaml", "utf8");
 const TEMPLATE = readFileSync("deploy/settings.yaml.template", "utf8");
 
-/** Values that the platform puts into the template, by placeholder. */
+/** Values that the platform substitutes in the template, by placeholder. */
 const PLATFORM_VALUES: Record<string, string> = {
   "node_name|json": '"front-hobart-a-1"',
   "zone|json": '"hobart-a"',
@@ -26,7 +26,7 @@
   "bounds.grace_s": "8",
 };
 
-test("the template, filled in, is the example", () => {
+test("the filled-in template equals the example", () => {
   const filled = TEMPLATE.replace(/\{\{([^}]+)\}\}/g, (_, name: string) => {
     assert.ok(name in PLATFORM_VALUES, name);
     return PLATFORM_VALUES[name] ?? "";
@@ -37,7 +37,7 @@
   assert.equal(fromTemplate.unwrap(), fromExample.unwrap());
 });
 
-test("a fault names its line, what was expected and what was found", () => {
+test("an error names its path and line", () => {
   const text = EXAMPLE.replace("termMs: 3000", "termMs: soon");
   const settings = parseYamlAs(text, gatewaySettingsSchema);
   assert.ok(settings.isErr());
--- a/test/settings/table_file_set_test.ts
+++ b/test/settings/table_file_set_test.ts
@@ -18,7 +18,7 @@
   return set;
 }
 
-test("finds the rows that were changed, added, moved and removed", () => {
+test("finds changed, added and removed rows, and ignores a move to another file", () => {
   const delta = createSet().findDelta([
     createFile("one", { a: "v2" }),
     createFile("three", { c: "v1", d: "v1" }),
@@ -29,37 +29,40 @@
 });
 
 const FILES_WITHOUT_DELTA: [string, { name: string; text: string }][] = [
-  ["a name that another file has", createFile("one", { a: "v1", c: "v2" })],
-  ["text that is no YAML", { name: "one", text: "routes: [" }],
+  [
+    "a name that occurs in another file",
+    createFile("one", { a: "v1", c: "v2" }),
+  ],
+  ["invalid YAML", { name: "one", text: "routes: [" }],
   ["an unknown section", { name: "one", text: "paths: []" }],
-  ["rows without names", { name: "one", text: "routes: [{}]" }],
-  ["a name twice", {
+  ["a row without a name", { name: "one", text: "routes: [{}]" }],
+  ["a duplicate name", {
     name: "one",
     text: "routes: [{name: a}, {name: a}]",
   }],
 ];
 
 for (const [what, file] of FILES_WITHOUT_DELTA) {
-  test(`leaves files with ${what} to the check of the whole`, () => {
+  test(`returns no delta for a file with ${what}`, () => {
     const files = [file, createFile("two", { c: "v1" })];
     assert.is(createSet().findDelta(files, 3), undefined);
   });
 }
 
-test("leaves a file over a megabyte to the check of the whole", () => {
+test("returns no delta for a file over a megabyte", () => {
   const { name, text } = createFile("one", { a: "v2" });
   const large = { name, text: `${text}#${"x".repeat(1_048_576)}` };
   assert.is(createSet().findDelta([large], 3), undefined);
 });
 
-test("finds nothing in a revision that is no later", () => {
+test("returns no delta for a revision that is not newer", () => {
   for (const revision of [1, 2]) {
     const files = [createFile("one", { a: "v2" })];
     assert.is(createSet().findDelta(files, revision), undefined);
   }
 });
 
-test("parses only what has changed", () => {
+test("parses only files whose text has changed", () => {
   const set = createSet();
   assert.is(set.parseFile(createFile("two", { c: "v1" })), false);
   assert.is(set.parseFile(createFile("two", { c: "v2" })), true);
