--- a/src/core/membership/adapter_index.ts
+++ b/src/core/membership/adapter_index.ts
@@ -1,4 +1,6 @@
-/** Index from an adapter to the upstreams on which it is resident or being loaded. */
+/**
+ * Index from an adapter to the upstreams on which it is resident or loading.
+ */
 import type { UpstreamDigest } from "../messages.ts";
 
 const NO_UPSTREAMS: ReadonlySet<string> = new Set();
@@ -10,7 +12,7 @@
     return this.#upstreams.get(adapterKey) ?? NO_UPSTREAMS;
   }
 
-  /** Replaces what was known of one upstream; either digest may be absent. */
+  /** Replaces the digest of one upstream; either digest may be absent. */
   update(
     previous: UpstreamDigest | undefined,
     next: UpstreamDigest | undefined,
--- a/src/core/membership/byte_token_bucket.ts
+++ b/src/core/membership/byte_token_bucket.ts
@@ -1,4 +1,8 @@
-/** A token bucket of bytes: saves up what is not used, to a bound, and may be overdrawn once. */
+/**
+ * A token bucket of bytes. Unused bytes accumulate up to the burst size; a
+ * message may overdraw the bucket, which then refuses until it is positive
+ * again.
+ */
 import type { Milliseconds } from "../structures.ts";
 
 export class ByteTokenBucket {
@@ -11,7 +15,7 @@
     this.#bytes = burstBytes;
   }
 
-  /** Returns whether anything may be sent now. */
+  /** Refills the bucket; returns whether a message may be sent now. */
   hasBytes(bytesPerSecond: number, now: Milliseconds): boolean {
     const elapsedMs = now - (this.#refilledAt ?? now);
     this.#refilledAt = now;
--- a/src/core/membership/digest_size.ts
+++ b/src/core/membership/digest_size.ts
@@ -1,4 +1,4 @@
-/** Sizes and comparison of upstreams' digests. */
+/** Size and comparison of upstream digests. */
 import type { PublishedDigest, UpstreamDigest } from "../messages.ts";
 
 const DIGEST_BASE_BYTES = 24;
@@ -12,7 +12,7 @@
   return bytes;
 }
 
-/** Returns whether the two differ in anything but load. */
+/** Returns whether the digests differ in anything but load. */
 export function hasResidencyChanged(
   first: UpstreamDigest,
   second: UpstreamDigest,
--- a/src/core/membership/dissemination_tree.ts
+++ b/src/core/membership/dissemination_tree.ts
@@ -1,21 +1,25 @@
 /**
- * Divides the passing on of updates: each daemon feeds the daemons that follow
- * it in the ring of live daemons, over a few that feed a part each in turn.
- * Every daemon then gets each update once, whatever the size of the ring.
+ * Dissemination tree over the ring of live daemons. Each daemon divides the
+ * daemons that follow it in the ring into a few parts and sends the update to
+ * the first of each part, which forwards it within that part. Every daemon
+ * receives each update once, whatever the size of the ring.
  */
 
-/** Daemons that one daemon feeds directly. */
+/** Most daemons to which one daemon sends an update itself. */
 export const DISSEMINATION_FAN_OUT = 9;
 
-/** A daemon to send to, and how many that follow it in the ring it has to feed. */
+/**
+ * A daemon to send to, and the number of daemons after it in the ring that it
+ * has to forward to.
+ */
 export interface DisseminationTarget {
   id: string;
   span: number;
 }
 
 /**
- * @param ring Ids of the live daemons in order.
- * @param span Daemons after `selfId` that are to be fed.
+ * @param ring Ids of the live daemons, sorted.
+ * @param span Number of daemons after `selfId` that the update has to reach.
  */
 export function listDisseminationTargets(
   ring: readonly string[],
--- a/src/core/membership/failure_detector.ts
+++ b/src/core/membership/failure_detector.ts
@@ -1,7 +1,8 @@
 /**
- * Finds daemons of the failure domain that are dead: probes one a period, asks
- * a few others to probe it when it does not answer, then suspects it aloud, so
- * that it can refute that, and takes it for dead only some time later.
+ * SWIM failure detector for the daemons of the failure domain. It probes one
+ * member per interval, requests indirect probes when there is no ack, and then
+ * disseminates a suspicion that the member can refute. The member is declared
+ * dead only when the suspicion times out.
  */
 import type { Effect } from "../effects.ts";
 import { rankByRendezvous } from "../hashing.ts";
@@ -25,17 +26,20 @@
   type MemberTable,
 } from "./member_table.ts";
 
-/** Daemons asked to probe one that does not answer. */
+/** Number of members that are asked to probe one that does not acknowledge. */
 const INDIRECT_PROBE_COUNT = 3;
-/** Part of the probe period after which others are asked. */
+/** Part of the probe interval after which indirect probes are requested. */
 const INDIRECT_PROBE_DELAY_RATIO = 0.5;
-/** Part of the peer timeout for which a daemon has been silent, at the least, when it is taken for dead. */
+/**
+ * Part of the peer timeout for which a member has been silent, at least, when
+ * it is declared dead.
+ */
 export const DEAD_TIMEOUT_RATIO = 0.8;
-/** Silent hosts probed at once while this daemon knows nobody. */
+/** Number of hosts probed at once while this daemon has no live peer. */
 const ISOLATED_PROBE_COUNT = 8;
-/** Gap between ticks beyond which timers are moved on by it. */
+/** Gap between ticks from which on timers are advanced by the gap. */
 const STALL_THRESHOLD_MS = 100;
-/** Time for which the answer to a probe for another daemon is waited for. */
+/** Time to wait for the ack of a probe sent for another member. */
 const RELAYED_PROBE_TIMEOUT_MS = 2_000;
 
 interface PendingProbe {
@@ -59,7 +63,7 @@
   describeSelf: () => MemberRecord;
   getRevisions: () => KnownRevisions;
   getStrikes: (now: Milliseconds) => StrikeDigest[];
-  /** Called when this daemon has come to another view of a member. */
+  /** Called when this daemon suspects a member or declares it dead. */
   reportStatusChange: (member: Member, now: Milliseconds) => void;
 }
 
@@ -94,7 +98,7 @@
     }
   }
 
-  /** Forgets the probes under way, after a pause of this process. */
+  /** Forgets probes in flight, after a pause of this process. */
   clear(): void {
     this.#pending.clear();
     this.#relayed.clear();
@@ -117,7 +121,7 @@
     });
   }
 
-  /** Takes an answer for this daemon, or passes it on to the one that asked for it. */
+  /** Accepts an ack, or forwards it to the member that requested the probe. */
   handleProbeAck(ack: ProbeAckMessage): void {
     this.#pending.delete(ack.probeId);
     const relayed = this.#relayed.get(ack.probeId);
@@ -145,7 +149,10 @@
     this.#sendProbe(request.targetId, probeId, now, false);
   }
 
-  /** Moves timers on by the time for which this process did not run. */
+  /**
+   * Advances timers by the time for which this process did not run, so that its
+   * own stall is not counted as silence of its peers.
+   */
   #advanceTimersByStall(now: Milliseconds): void {
     const stallMs = now - (this.#lastTickAt ?? now);
     this.#lastTickAt = now;
@@ -202,7 +209,9 @@
     }
   }
 
-  /** Probes hosts of which nothing is known or that are taken for dead, in turn. */
+  /**
+   * Probes hosts that are unknown or dead, in turn, so that they can rejoin.
+   */
   #sendProbesToMissingHosts(now: Milliseconds): void {
     const { members, intervals: periods } = this.#options;
     const isIsolated = members.getRing().length === 1;
@@ -224,7 +233,10 @@
     }
   }
 
-  /** Returns the next live member of this round; each round has an order of its own. */
+  /**
+   * Returns the next live member of this round; each round has a different
+   * order.
+   */
   #selectTarget(): string | undefined {
     const { members, selfId } = this.#options;
     for (;;) {
@@ -280,7 +292,7 @@
     });
   }
 
-  /** Returns the receiver's own record and some others in turn. */
+  /** Returns the record of the receiver and those of some others, in turn. */
   #selectPiggybackedMembers(receiverId: string): MemberRecord[] {
     const members = [...this.#options.members.getAll()];
     const count = Math.min(PIGGYBACKED_MEMBERS, members.length);
--- a/src/core/membership/host_directory.ts
+++ b/src/core/membership/host_directory.ts
@@ -1,4 +1,4 @@
-/** The hosts that the platform's list names, indexed. */
+/** Indexes of the hosts in the platform's host list. */
 import { rankByRendezvous } from "../hashing.ts";
 import {
   HostRole,
@@ -58,12 +58,12 @@
     return this.#upstreamsByDomain.get(failureDomain) ?? [];
   }
 
-  /** Returns the failure domains with daemons, in order. */
+  /** Returns the failure domains that have daemons, sorted. */
   listEntryDomains(): readonly string[] {
     return this.#entryDomains ??= [...this.#entryHostsByDomain.keys()].sort();
   }
 
-  /** Returns the failure domains with daemons, other than the one named. */
+  /** Returns the failure domains that have daemons, except the given one. */
   listOtherDomains(failureDomain: string): string[] {
     return this.listEntryDomains().filter((domain) => domain !== failureDomain);
   }
@@ -73,8 +73,9 @@
   }
 
   /**
-   * Returns the upstreams of the failure domain that it tells another of: of
-   * each pool that spans both, a bounded number that is always the same.
+   * Returns the upstreams of a failure domain that it exports to another: for
+   * each pool that spans both, a bounded number, selected by rendezvous hashing
+   * so that all daemons select the same.
    */
   selectExportedUpstreams(
     failureDomain: string,
--- a/src/core/membership/link_manager.ts
+++ b/src/core/membership/link_manager.ts
@@ -1,7 +1,8 @@
 /**
- * Links between failure domains. For each other domain a few daemons of this
- * one, chosen by rendezvous hashing over the live ones, tell it of a bounded
- * number of upstreams; the daemon that is told publishes them in its domain.
+ * Links between failure domains. For each other domain, a few daemons of this
+ * one, selected by rendezvous hashing over the live ones, export a bounded
+ * number of upstreams to it. The daemon that receives them publishes them in
+ * its own domain.
  */
 import type { Effect } from "../effects.ts";
 import { rankByRendezvous } from "../hashing.ts";
@@ -24,13 +25,16 @@
 import { LinkReceiver, type RemoteState } from "./link_receiver.ts";
 import type { ViewStore } from "./view_store.ts";
 
-/** Daemons that tell one other failure domain. */
+/** Daemons that have a link to the same other failure domain. */
 const LINKS_PER_DOMAIN = 2;
-/** Upstreams of one pool that another failure domain is told of. */
+/** Most upstreams of one pool that are exported to another failure domain. */
 const MAX_EXPORTED_PER_POOL = 8;
-/** Time between looks at what has changed. */
+/** Interval between checks for changes. */
 const LINK_CHECK_INTERVAL_MS = 20;
-/** Silent periods after which the other side is taken for dead. */
+/**
+ * Heartbeat intervals without a message after which the other side is
+ * considered dead.
+ */
 const MAX_MISSED_HEARTBEATS = 4;
 
 export interface LinkManagerOptions {
@@ -44,7 +48,7 @@
   getRing: () => readonly string[];
   getRevisions: () => KnownRevisions;
   getStrikes: (now: Milliseconds) => StrikeDigest[];
-  /** Takes what other failure domains say of their upstreams, all of it. */
+  /** Publishes the full state received from all other failure domains. */
   publishRemote: (remote: RemoteState, now: Milliseconds) => void;
   getStoreCoordinatorId: () => string | undefined;
 }
@@ -70,7 +74,7 @@
     this.#ring = undefined;
   }
 
-  /** Tells other failure domains what has been evicted in this one. */
+  /** Sends evictions in this failure domain to the others. */
   addEvictions(evictions: readonly EvictionDigest[]): void {
     if (evictions.length === 0) return;
     for (const link of this.#links.values()) link.addEvictions(evictions);
@@ -92,12 +96,15 @@
     if (remote) this.#options.publishRemote(remote, now);
   }
 
-  /** Tells other failure domains what has changed or is due. */
+  /** Sends the updates that are due to other failure domains. */
   sendUpdates(now: Milliseconds): void {
     for (const link of this.#links.values()) this.#sendUpdate(link, now);
   }
 
-  /** Returns whether the update comes from a daemon of the domain that it names. */
+  /**
+   * Returns whether the sender belongs to the failure domain that the update
+   * names, and that is another one than this daemon's.
+   */
   isFromNamedDomain(from: string, update: LinkUpdateMessage): boolean {
     const host = this.#directory.getEntryHost(from);
     return host !== undefined && host.failureDomain === update.failureDomain &&
@@ -122,7 +129,9 @@
     for (const link of this.#links.values()) link.recordAck(from, ack, now);
   }
 
-  /** Forgets what others told, after a pause of this process. */
+  /**
+   * Forgets all received state and all links, after a pause of this process.
+   */
   clear(): void {
     this.#receiver.clear();
     this.#links.clear();
--- a/src/core/membership/link_receiver.ts
+++ b/src/core/membership/link_receiver.ts
@@ -1,4 +1,7 @@
-/** What daemons of other failure domains tell this one of their upstreams. */
+/**
+ * The receiving side of links: state that daemons of other failure domains
+ * export to this daemon.
+ */
 import type {
   LinkAckMessage,
   LinkedDomain,
@@ -15,7 +18,7 @@
   digests: Map<string, PublishedDigest>;
 }
 
-/** What other failure domains tell, all of it. */
+/** Full state received from all other failure domains. */
 export interface RemoteState {
   digests: ReadonlyMap<string, PublishedDigest>;
   domains: readonly LinkedDomain[];
@@ -26,7 +29,7 @@
   #domains: readonly LinkedDomain[] = [];
   #hasChanged = false;
 
-  /** Takes an update; returns what to acknowledge. */
+  /** Applies an update; returns the fields of its ack. */
   accept(
     from: string,
     update: LinkUpdateMessage,
@@ -51,7 +54,7 @@
     return { incarnation, sequence, needsFull: false };
   }
 
-  /** Drops the sources that have been silent for the time given. */
+  /** Drops the sources that have been silent for the timeout. */
   expire(timeoutMs: Milliseconds, now: Milliseconds): void {
     for (const [id, source] of this.#sources) {
       if (now - source.lastHeardAt < timeoutMs) continue;
@@ -65,7 +68,10 @@
     this.#hasChanged = true;
   }
 
-  /** Returns what is told now if it has changed since the last call; the source heard last goes first. */
+  /**
+   * Returns the received state if it has changed since the last call. Where
+   * sources contradict each other, the one heard from last wins.
+   */
   takeChanged(): RemoteState | undefined {
     if (!this.#hasChanged) return undefined;
     this.#hasChanged = false;
@@ -92,7 +98,10 @@
     return source;
   }
 
-  /** Returns the list of before when nothing in it has changed. */
+  /**
+   * Returns the previous array if nothing in it has changed, as
+   * `StatePublisher` compares arrays by identity.
+   */
   #updateDomains(domains: readonly LinkedDomain[]): readonly LinkedDomain[] {
     const isSame = domains.length === this.#domains.length &&
       domains.every((domain, index) => domain === this.#domains[index]);
--- a/src/core/membership/link_sender.ts
+++ b/src/core/membership/link_sender.ts
@@ -1,4 +1,7 @@
-/** This daemon's side of a link: tells one daemon of another failure domain what changes in this one. */
+/**
+ * The sending side of a link: sends changes in this failure domain to one
+ * daemon of another.
+ */
 import { rankByRendezvous } from "../hashing.ts";
 import type {
   EvictionDigest,
@@ -10,29 +13,31 @@
 import type { HostStructure, Milliseconds } from "../structures.ts";
 import { estimateDigestBytes, hasResidencyChanged } from "./digest_size.ts";
 
-/** Digests of one message at most; the rest follow in the next. */
+/** Most digests in one update; the others follow in later updates. */
 const MAX_LINK_DIGESTS = 256;
 
-/** Evictions that one update tells of. */
+/**
+ * Most evictions in one update; when there are more, the oldest are dropped.
+ */
 const MAX_EVICTIONS = 16;
 
-/** What a link tells, when it is due. */
+/** State that a link sends when an update is due. */
 export interface LinkContent {
-  /** Upstreams to tell of that have a view now. */
+  /** Digests of the exported upstreams that currently have a view. */
   digests: ReadonlyMap<string, PublishedDigest>;
   strikes: StrikeDigest[];
 }
 
 export interface LinkIntervals {
-  /** Longest silence. */
+  /** Longest time without an update. */
   heartbeatMs: Milliseconds;
-  /** Silence after which the other side is taken for dead. */
+  /** Time without an ack after which the target is considered dead. */
   timeoutMs: Milliseconds;
-  /** Time between reports of load that changed. */
+  /** Interval between updates of changed load. */
   loadIntervalMs: Milliseconds;
 }
 
-/** Fields of a link update that the link decides. */
+/** Fields of a link update that `LinkSender` sets. */
 export type LinkUpdateBody = Pick<
   LinkUpdateMessage,
   | "sequence"
@@ -52,7 +57,10 @@
   #targetIndex = 0;
   #sequence = 0;
   #needsFull = true;
-  /** Whether the present target has answered; until then it is told nothing but that this side is here. */
+  /**
+   * Whether the current target has acknowledged an update; until then it is
+   * sent empty updates only.
+   */
   #hasTargetAnswered = false;
   #lastSentAt = Number.NEGATIVE_INFINITY;
   #lastLoadAt = Number.NEGATIVE_INFINITY;
@@ -63,7 +71,10 @@
     this.#lastAckAt = now;
   }
 
-  /** Sets the daemons of the other side, of which the first that answers is told. */
+  /**
+   * Sets the daemons of the other failure domain; updates go to the first one,
+   * in rendezvous order, that acknowledges them.
+   */
   setTargets(ownDomain: string, hosts: readonly HostStructure[]): void {
     const known = this.getTargetId();
     this.#targets = rankByRendezvous(`link\u0000${ownDomain}`, hosts);
@@ -80,7 +91,7 @@
     return this.#targets[this.#targetIndex]?.id;
   }
 
-  /** Adds evictions to tell of once, with the next update. */
+  /** Adds evictions to send once, with the next update. */
   addEvictions(evictions: readonly EvictionDigest[]): void {
     this.#evictions = [...this.#evictions, ...evictions].slice(-MAX_EVICTIONS);
   }
@@ -92,7 +103,7 @@
     if (ack.needsFull) this.#needsFull = true;
   }
 
-  /** Returns the update that is due, or undefined. */
+  /** Returns the update that is due, or undefined if there is none. */
   takeUpdate(
     content: LinkContent,
     intervals: LinkIntervals,
@@ -141,7 +152,7 @@
     this.#hasTargetAnswered = false;
   }
 
-  /** Returns an update without content, when it is due. */
+  /** Returns an update without content, if one is due. */
   #takeEmptyUpdate(
     periods: LinkIntervals,
     now: Milliseconds,
--- a/src/core/membership/member_table.ts
+++ b/src/core/membership/member_table.ts
@@ -1,7 +1,8 @@
 /**
- * What is known of the daemons of this failure domain. A record of a higher
- * number overrides one of a lower number, and only its own daemon raises it;
- * of one number, death overrides suspicion and suspicion life.
+ * Table of the members, the daemons of this failure domain, merged as in SWIM.
+ * A record with a higher number overrides one with a lower number; only the
+ * daemon itself raises its number. At the same number, dead overrides suspect
+ * and suspect overrides alive.
  */
 import {
   type LinkedDomain,
@@ -14,26 +15,33 @@
 /** A daemon as this one sees it. */
 export interface Member extends MemberRecord {
   statusSince: Milliseconds;
-  /** When a message last came from the daemon itself. */
+  /** Time of the last message from the daemon itself. */
   lastHeardAt: Milliseconds;
-  /** Revision of the tables that it last named; 0 when it has named none. */
+  /** Tables revision that it last reported; 0 if it has reported none. */
   tablesRevision: number;
-  /** Version of its state that is held here. */
+  /** Version of its published state that has been applied here. */
   appliedVersion: number;
   appliedLoadSequence: number;
   platformReach: PlatformReach;
   linkedDomains: readonly LinkedDomain[];
-  /** Who showed a newer version of its state than is held, and when. */
+  /**
+   * Set while a newer version of its state is known than has been applied here:
+   * the time from which the delay before a fetch counts, and the daemon to
+   * fetch it from.
+   */
   pendingSync: { since: Milliseconds; source: string } | undefined;
 }
 
-/** What a record changed. */
+/** Effect of merging a record. */
 export const MergeResult = {
-  /** Nothing new, or older than what is known. */
+  /** The record is not newer than what is known. */
   Known: "known",
-  /** The life or the leaving of the daemon is seen differently now. */
+  /** The status of the daemon changed, or it began to leave. */
   Changed: "changed",
-  /** The daemon has restarted, or was dead: its published state is void. */
+  /**
+   * The daemon is new, has restarted or was dead: its published state is
+   * invalid.
+   */
   Renewed: "renewed",
 } as const;
 export type MergeResult = (typeof MergeResult)[keyof typeof MergeResult];
@@ -49,7 +57,9 @@
     this.#selfId = selfId;
   }
 
-  /** Sets the daemons that the host list names, this one left out; forgets all others. */
+  /**
+   * Sets the daemons in the host list, without this one; forgets all others.
+   */
   setHostIds(ids: readonly string[]): void {
     const known = new Set(ids);
     this.#hostIds = known;
@@ -59,7 +69,7 @@
     this.#recordChange();
   }
 
-  /** Grows with each change of who is live or leaving. */
+  /** Increases whenever a daemon's liveness or leaving state changes. */
   get epoch(): number {
     return this.#epoch;
   }
@@ -85,7 +95,7 @@
     return member !== undefined && member.status !== MemberStatus.Dead;
   }
 
-  /** Returns the live daemons in the order of their ids, this one included. */
+  /** Returns the ids of the live daemons, including this one, sorted. */
   getRing(): readonly string[] {
     return this.#ring ??= [
       this.#selfId,
@@ -93,12 +103,12 @@
     ].sort();
   }
 
-  /** Returns the hosts of which nothing is known, or that are taken for dead. */
+  /** Returns the hosts that are unknown or dead. */
   listMissingHosts(): string[] {
     return [...this.#hostIds].filter((id) => !this.isLive(id));
   }
 
-  /** Returns whether something is known of every host. */
+  /** Returns whether there is a record of every host. */
   isEveryHostKnown(): boolean {
     return [...this.#hostIds].every((id) => this.#members.has(id));
   }
@@ -113,7 +123,7 @@
     if (member) member.tablesRevision = revision;
   }
 
-  /** Takes a record of another daemon from anyone. */
+  /** Merges a record of another daemon, received from any daemon. */
   merge(record: MemberRecord, source: string, now: Milliseconds): MergeResult {
     if (!this.isHost(record.id)) return MergeResult.Known;
     const known = this.#members.get(record.id);
@@ -141,7 +151,7 @@
     this.#recordChange();
   }
 
-  /** Forgets everyone, after a pause of this process. */
+  /** Forgets all members, after a pause of this process. */
   clear(): void {
     this.#members.clear();
     this.#recordChange();
@@ -194,7 +204,7 @@
     return isRenewed ? MergeResult.Renewed : MergeResult.Changed;
   }
 
-  /** Notes that someone holds a newer version of the daemon's state. */
+  /** Records that the source has a newer version of the daemon's state. */
   #markPendingSync(
     member: Member,
     version: number,
@@ -208,7 +218,7 @@
   }
 }
 
-/** Returns the plain record of a member, as messages carry it. */
+/** Returns the record of a member that messages carry. */
 export function describeMember(member: Member): MemberRecord {
   const {
     id,
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,7 +1,8 @@
 /**
- * The hosts, the daemons of this failure domain that are live, the ownership
- * of its upstreams and what is published of upstreams everywhere. The
- * platform's host list names the daemons; their own messages judge them.
+ * Hosts, live daemons of this failure domain, owners of its upstreams, and
+ * published state of the upstreams of all failure domains. The platform's host
+ * list says which daemons exist; the messages they exchange say which of them
+ * are alive.
  */
 import { findRendezvousWinner } from "../hashing.ts";
 import {
@@ -31,19 +32,25 @@
   failureDomain: string;
 }
 
-/** A peer as an operator sees it. */
+/** A peer as it is shown to operators. */
 export interface PeerDescription {
   id: string;
   failureDomain: string;
   live: boolean;
   leaving: boolean;
-  /** Revision of the tables that it last named; 0 for daemons that do not exchange any with this one. */
+  /**
+   * Tables revision that it last reported; 0 for daemons that do not exchange
+   * messages with this one.
+   */
   tablesRevision: number;
-  /** Time since a message came from it; null for daemons that do not exchange any with this one. */
+  /**
+   * Time since its last message; null for daemons that do not exchange messages
+   * with this one.
+   */
   silentMs: number | null;
 }
 
-/** Key by which the keeper of the weight store is chosen. */
+/** Rendezvous hashing key that selects the store coordinator. */
 const STORE_COORDINATOR_KEY = "weight-store";
 
 interface CachedChoice {
@@ -72,12 +79,12 @@
     return this.#directory;
   }
 
-  /** Grows with each change that may move an upstream to another owner. */
+  /** Increases with each change that may move an upstream to another owner. */
   get epoch(): number {
     return this.#epoch + this.members.epoch;
   }
 
-  /** Takes the hosts of a newer host list. */
+  /** Applies a newer host list. */
   applyHostList(hosts: readonly HostStructure[]): void {
     const { selfId, failureDomain } = this.#options;
     const previous = [...this.members.getHostIds()];
@@ -102,7 +109,10 @@
     return this.#isSelfLeaving;
   }
 
-  /** Takes a record of another daemon; what it published is void when it died or restarted. */
+  /**
+   * Merges a record of another daemon; discards its published state if it died
+   * or restarted.
+   */
   mergeRecord(
     record: MemberRecord,
     source: string,
@@ -115,7 +125,7 @@
     return result;
   }
 
-  /** Forgets everyone and all views, after a pause of this process. */
+  /** Forgets all members and all views, after a pause of this process. */
   expireAll(): void {
     this.members.clear();
     this.views.clear();
@@ -123,8 +133,9 @@
   }
 
   /**
-   * Returns whether the daemon speaks: for one of this failure domain by its
-   * own word, for others by whether a link still names it as an owner.
+   * Returns whether the daemon is considered live: by the failure detector for
+   * one of this failure domain; for others, by whether a link still names it as
+   * the owner of an upstream.
    */
   isPeerLive(id: string): boolean {
     return this.members.isHost(id)
@@ -133,8 +144,9 @@
   }
 
   /**
-   * Returns whether a message to the daemon may arrive: for one of another
-   * failure domain the host list alone decides, and silence is the answer.
+   * Returns whether a message to the daemon may arrive. There is no failure
+   * detector for daemons of other failure domains: for them only the host list
+   * decides, and the sender has to time out.
    */
   canReachPeer(id: string): boolean {
     return this.members.isHost(id)
@@ -159,7 +171,7 @@
     return this.#directory.getDomainUpstreams(this.#options.failureDomain);
   }
 
-  /** Returns the upstreams that the pool selects, without a scan of the host list. */
+  /** Returns the upstreams that the pool selects, from an index. */
   getPoolUpstreams(pool: PoolStructure): readonly HostStructure[] {
     return this.#directory.getPoolUpstreams(pool);
   }
@@ -172,17 +184,26 @@
     return isSelected ? host : undefined;
   }
 
-  /** Returns the upstreams on which the adapter is published as resident or loading. */
+  /**
+   * Returns the upstreams on which the adapter is published as resident or
+   * loading.
+   */
   getAdapterUpstreamIds(adapterKey: string): ReadonlySet<string> {
     return this.views.getAdapterUpstreamIds(adapterKey);
   }
 
-  /** Returns the last digest of the upstream if its owner still speaks. */
+  /**
+   * Returns the last published view of the upstream, or undefined if no live
+   * daemon publishes it.
+   */
   getUpstreamView(upstreamId: string): UpstreamView | undefined {
     return this.views.getView(upstreamId);
   }
 
-  /** Records what this daemon, as the owner, knows of the upstream; returns the digest as kept. */
+  /**
+   * Records the digest of an upstream that this daemon owns; returns the stored
+   * digest, which keeps the previous arrays if the residency is the same.
+   */
   recordOwnView(digest: UpstreamDigest, now: Milliseconds): UpstreamDigest {
     const { selfId } = this.#options;
     const known = this.views.getPublished(selfId, digest.upstreamId)?.digest;
@@ -196,17 +217,22 @@
     return kept;
   }
 
-  /** Forgets an upstream that this daemon owns no longer. */
+  /** Removes the view of an upstream that this daemon no longer owns. */
   removeOwnView(upstreamId: string): void {
     this.views.remove(this.#options.selfId, upstreamId);
   }
 
-  /** Returns whether something is known of every daemon of this failure domain. */
+  /**
+   * Returns whether there is a record of every daemon of this failure domain.
+   */
   isEveryDomainPeerKnown(): boolean {
     return this.members.isEveryHostKnown();
   }
 
-  /** Returns the daemon that owns the upstream as seen from here, or undefined. */
+  /**
+   * Returns the daemon that owns the upstream in this daemon's view, or
+   * undefined.
+   */
   getOwnerId(upstreamId: string): string | undefined {
     const host = this.#directory.getUpstreamHost(upstreamId);
     if (!host) return undefined;
@@ -220,7 +246,10 @@
     return ownerId;
   }
 
-  /** Returns the owner that would follow this daemon, or undefined. */
+  /**
+   * Returns the daemon that would own the upstream if this one left, or
+   * undefined.
+   */
   getSuccessorId(upstreamId: string): string | undefined {
     const candidates = this.#getCandidates().filter((host) =>
       host.id !== this.#options.selfId
@@ -228,7 +257,7 @@
     return findRendezvousWinner(upstreamId, candidates)?.id;
   }
 
-  /** Takes what a link tells this daemon of other failure domains, all of it. */
+  /** Replaces the views received over links from other failure domains. */
   setRemoteViews(
     remote: ReadonlyMap<string, PublishedDigest>,
     now: Milliseconds,
@@ -248,14 +277,14 @@
     }
   }
 
-  /** Sets the failure domains that reach this daemon over a link. */
+  /** Sets the failure domains that send updates to this daemon over a link. */
   setLinkedDomains(domains: readonly LinkedDomain[]): void {
     this.#linkedDomains = domains;
   }
 
   /**
-   * Returns the daemon that keeps a failure domain's part of the weight store:
-   * for this domain by its live daemons, for others as their links tell.
+   * Returns the store coordinator of a failure domain: for this domain selected
+   * from its live daemons, for others as reported over links.
    */
   getStoreCoordinatorId(failureDomain: string): string | undefined {
     if (failureDomain !== this.#options.failureDomain) {
@@ -273,21 +302,26 @@
     return this.#storeCoordinator.daemonId;
   }
 
-  /** Returns the keepers of the other failure domains that a link tells of. */
+  /**
+   * Returns the store coordinators of the other failure domains that are known
+   * from links.
+   */
   listOtherStoreCoordinatorIds(): string[] {
     return this.#directory.listOtherDomains(this.#options.failureDomain)
       .map((domain) => this.getStoreCoordinatorId(domain))
       .filter((id) => id !== undefined);
   }
 
-  /** Returns the failure domains that have entry hosts, in order. */
+  /** Returns the failure domains that have entry hosts, sorted. */
   listEntryDomains(): readonly string[] {
     return this.#directory.listEntryDomains();
   }
 
   /**
-   * Returns an upstream of the same service, other than the given one, that
-   * has the adapter, or that is about to load it and comes before it in order.
+   * Returns another upstream of the same service that has the adapter, or that
+   * is loading it and has a lower id than the given one. The order of the ids
+   * prevents two upstreams that load the adapter from redirecting to each
+   * other.
    */
   findRedirectTarget(
     adapterKey: string,
@@ -306,21 +340,23 @@
     return undefined;
   }
 
-  /** Returns the live daemons of this failure domain that are not leaving, this one left out. */
+  /**
+   * Returns the other live daemons of this failure domain that are not leaving.
+   */
   listNonLeavingPeers(): Member[] {
     return [...this.members.getAll()].filter((member) =>
       member.status !== MemberStatus.Dead && !member.leaving
     );
   }
 
-  /** Returns the daemons of this failure domain of which nothing is known. */
+  /** Returns the daemons of this failure domain of which there is no record. */
   listUnknownPeers(): ReaderCandidate[] {
     return this.members.listMissingHosts()
       .filter((id) => this.members.get(id) === undefined)
       .map((id) => ({ id, platformReach: PlatformReach.NotReading }));
   }
 
-  /** Returns the peers as an operator sees them. */
+  /** Describes the peers for operators. */
   describePeers(now: Milliseconds): PeerDescription[] {
     return [...this.#directory.getEntryHosts()]
       .filter((host) => host.id !== this.#options.selfId)
--- a/src/core/membership/peer_protocol.ts
+++ b/src/core/membership/peer_protocol.ts
@@ -1,6 +1,6 @@
 /**
- * The exchange of one daemon with its peers: joins the failure domain, probes
- * its members, passes on what changes, repairs what was missed, and holds the
+ * Protocol between this daemon and its peers: joins the failure domain, probes
+ * its members, disseminates changes, fetches missed updates, and maintains the
  * links to other failure domains.
  */
 import type { CoreSettings } from "../core_settings.ts";
@@ -35,7 +35,7 @@
 import { StatePublisher } from "./state_publisher.ts";
 import { StrikeDisseminator } from "./strike_disseminator.ts";
 
-/** Time between requests of a daemon that joins, and peers asked each time. */
+/** Interval between join requests, and number of peers asked each time. */
 const JOIN_RETRY_MS = 300;
 const JOIN_FAN_OUT = 2;
 
@@ -48,20 +48,20 @@
   emit: (effect: Effect) => void;
   getRevisions: () => KnownRevisions;
   getStrikes: (now: Milliseconds) => StrikeDigest[];
-  /** Takes over strikes that a peer names. */
+  /** Merges strikes received from a peer. */
   mergeStrikes: (strikes: readonly StrikeDigest[], now: Milliseconds) => void;
-  /** Takes over what a peer counted of adapters that it has evicted. */
+  /** Merges the request counts of adapters that a peer has evicted. */
   mergeEvictions: (
     evictions: readonly EvictionDigest[],
     now: Milliseconds,
   ) => void;
-  /** Takes note of the revisions that a peer holds. */
+  /** Handles the revisions that a peer reports. */
   handleRevisions: (
     from: string,
     revisions: KnownRevisions,
     now: Milliseconds,
   ) => void;
-  /** Takes deltas that were spread in the failure domain. */
+  /** Handles deltas that were disseminated in the failure domain. */
   handleDeltas: (
     from: string,
     tablesDeltas: TablesDelta[],
@@ -161,12 +161,14 @@
     }, membership.directory);
   }
 
-  /** Returns whether a peer has told what it knows, or there is none to ask. */
+  /**
+   * Returns whether a peer has sent its full state, or there is no peer to ask.
+   */
   hasJoined(): boolean {
     return this.#hasJoined || this.#listDomainPeerIds().length === 0;
   }
 
-  /** Returns whether a peer has told what it knows. */
+  /** Returns whether a peer has sent its full state. */
   hasReceivedPeerState(): boolean {
     return this.#hasJoined;
   }
@@ -182,24 +184,24 @@
     };
   }
 
-  /** Takes note of a newer host list or of newer tables. */
+  /** Applies a newer host list or newer tables. */
   updateTables(pools: readonly PoolStructure[]): void {
     this.#links.setDirectory(this.#membership.directory);
     this.#links.setPools(pools);
   }
 
-  /** Publishes what this daemon, as the owner, knows of the upstream. */
+  /** Publishes the digest of an upstream that this daemon owns. */
   publishUpstream(digest: UpstreamDigest, now: Milliseconds): void {
     this.#publisher.recordOwn(this.#membership.recordOwnView(digest, now));
   }
 
-  /** Publishes that this daemon owns the upstream no longer. */
+  /** Publishes that this daemon no longer owns the upstream. */
   removeUpstream(upstreamId: string): void {
     this.#membership.removeOwnView(upstreamId);
     this.#publisher.removeOwn(upstreamId);
   }
 
-  /** Tells peers what this daemon has evicted. */
+  /** Publishes evictions by this daemon to peers, also over links. */
   publishEvictions(evictions: readonly EvictionDigest[]): void {
     this.#publisher.addEvictions(evictions);
     this.#links.addEvictions(evictions);
@@ -223,14 +225,17 @@
     this.#disseminator.flush();
   }
 
-  /** Tells of new strikes at once, as their caller may send the request again elsewhere. */
+  /**
+   * Publishes new strikes at once, because the caller may retry the request on
+   * another daemon.
+   */
   publishStrikes(now: Milliseconds): void {
     if (!this.#strikeDisseminator.tick(now)) return;
     this.#disseminator.flush();
     this.#links.sendUpdates(now);
   }
 
-  /** Publishes at once what has changed, before this daemon stops. */
+  /** Publishes pending changes at once, before this daemon stops. */
   flush(now: Milliseconds): void {
     this.#publishState(now);
     this.#disseminator.flush();
@@ -249,7 +254,10 @@
     this.#disseminator.tick(now);
   }
 
-  /** Forgets everyone after a pause of this process, and begins anew under a higher number. */
+  /**
+   * Forgets all peers after a pause of this process, and joins again with a
+   * higher number.
+   */
   expireAll(): void {
     this.#membership.expireAll();
     this.#detector.clear();
@@ -368,7 +376,7 @@
     if (update) this.#disseminator.addState(update, now);
   }
 
-  /** Takes records of others; a record of this daemon that is not true is refuted. */
+  /** Merges records of other daemons; refutes a wrong record of this daemon. */
   #mergeRecords(
     from: string,
     records: readonly MemberRecord[],
@@ -391,7 +399,10 @@
     this.#disseminator.addMember(this.describeSelf(), now);
   }
 
-  /** Asks a few peers for all they know, others each time, until one has answered. */
+  /**
+   * Requests the full state from a few peers, different ones each time, until
+   * one has sent it.
+   */
   #tryJoin(now: Milliseconds): void {
     if (now - this.#lastJoinAt < JOIN_RETRY_MS) return;
     this.#lastJoinAt = now;
--- a/src/core/membership/platform_reader_election.ts
+++ b/src/core/membership/platform_reader_election.ts
@@ -1,37 +1,55 @@
 /**
- * Chooses the daemons that read the platform: a few in each failure domain.
- * Any other daemon reads for itself when for some time nobody tells it that
- * the platform is being read, spread out so that a whole fleet that does so at
- * once stays within what the configuration service bears.
+ * Elects the daemons that read the platform: a few in each failure domain. Any
+ * other daemon falls back to reading by itself when no peer has reported a
+ * successful read for some time. That time has jitter in proportion to the size
+ * of the fleet, so that a whole fleet that falls back at once does not overload
+ * the configuration service.
  */
 import { hashText, rankByRendezvous } from "../hashing.ts";
 import { PlatformReach } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** Daemons of a failure domain that read the platform. */
+/** Daemons per failure domain that read the platform. */
 const READERS_PER_DOMAIN = 2;
-/** Time without a reader after which a daemon reads for itself, at the least. */
+/**
+ * Shortest time without a successful reader after which a daemon reads by
+ * itself.
+ */
 const READER_TIMEOUT_MS = 3_000;
-/** Calls that one reading of the tables takes, and calls a second that all such readings may add up to. */
+/**
+ * Calls that one read of the tables takes, and most calls per second by all
+ * daemons that read by themselves.
+ */
 const CALLS_PER_READ = 32;
 const MAX_CALLS_PER_SECOND = 1_000;
-/** Daemons that have to fail before the platform itself is taken for down. */
+/**
+ * Daemons that must fail to read before the platform itself is considered down.
+ */
 const MAX_FAILED_READERS = 6;
-/** Time for which a reader that could not read the platform leaves that to others. */
+/**
+ * Time for which a daemon that failed to read the platform leaves reading to
+ * others.
+ */
 const FAILED_READER_BACKOFF_MS = 10_000;
 
-/** A live daemon of the failure domain, as the choice of readers sees it. */
+/** A daemon of the failure domain that is a candidate in the election. */
 export interface ReaderCandidate {
   id: string;
   platformReach: PlatformReach;
 }
 
 export interface ReaderElectionInput {
-  /** Other daemons of the failure domain that may read: live and not leaving, or not heard of yet. */
+  /**
+   * Other daemons of the failure domain that may read: live and not leaving, or
+   * still unknown.
+   */
   peers: readonly ReaderCandidate[];
-  /** Daemons in the host list, all failure domains together. */
+  /** Number of daemons in the host list, in all failure domains. */
   daemonCount: number;
-  /** Whether peers may yet answer a daemon that has just started or woken. */
+  /**
+   * Whether this daemon has just started, or resumed after a pause, and peers
+   * may still reply to it.
+   */
   isAwaitingPeers: boolean;
   isLeaving: boolean;
 }
@@ -48,7 +66,7 @@
     this.#readerConfirmedAt = now;
   }
 
-  /** Records how a reading of the platform ended. */
+  /** Records whether a read of the platform succeeded. */
   recordReadResult(isReached: boolean, now: Milliseconds): void {
     if (isReached) this.#failedAt = Number.NEGATIVE_INFINITY;
     else this.#failedAt = now;
@@ -57,7 +75,7 @@
     this.#reach = isReached ? PlatformReach.Reached : PlatformReach.Unreached;
   }
 
-  /** Returns what this daemon tells others of the platform. */
+  /** Returns the platform reach that this daemon reports to its peers. */
   getReach(): PlatformReach {
     return this.#reach;
   }
@@ -73,7 +91,7 @@
     return isReading;
   }
 
-  /** Takes it that nothing was heard of readers, after a pause of this process. */
+  /** Restarts the time without a reader, after a pause of this process. */
   clear(now: Milliseconds): void {
     this.#readerConfirmedAt = now;
   }
@@ -96,8 +114,9 @@
   }
 
   /**
-   * Returns whether this daemon is among the first that have not failed to
-   * read; when many have failed, among the first of all, which go on trying.
+   * Returns whether this daemon is among the first candidates that have not
+   * failed to read. When all of the first `MAX_FAILED_READERS` have failed, the
+   * platform is considered down, and the first candidates keep trying.
    */
   #isChosen(peers: readonly ReaderCandidate[], now: Milliseconds): boolean {
     const hasFailed = now - this.#failedAt < FAILED_READER_BACKOFF_MS;
@@ -118,7 +137,10 @@
       .some((candidate) => candidate.id === this.#selfId);
   }
 
-  /** Returns how long this daemon waits for a reader; others wait for other times. */
+  /**
+   * Returns how long this daemon waits for a reader; the jitter depends on its
+   * id.
+   */
   #computeFallbackDelayMs(daemons: number): Milliseconds {
     const jitterMs = daemons * CALLS_PER_READ * 1_000 / MAX_CALLS_PER_SECOND;
     return READER_TIMEOUT_MS + jitterMs * hashText(this.#selfId) / 2 ** 32;
--- a/src/core/membership/pool_index.ts
+++ b/src/core/membership/pool_index.ts
@@ -1,11 +1,14 @@
-/** Index of the upstream hosts by service and failure domain, so that a pool's upstreams are found without a scan. */
+/**
+ * Index of the upstream hosts by service and failure domain, so that the
+ * upstreams of a pool are found without a scan of the host list.
+ */
 import type { HostStructure, PoolStructure } from "../structures.ts";
 
 const NO_HOSTS: readonly HostStructure[] = [];
 
 export class PoolIndex {
   readonly #hosts = new Map<string, HostStructure[]>();
-  /** Upstreams of pools asked for since the last update, by pool row. */
+  /** Cached upstreams of the pools that were looked up, by pool row. */
   readonly #pools = new WeakMap<PoolStructure, readonly HostStructure[]>();
 
   constructor(upstreamHosts: Iterable<HostStructure>) {
@@ -17,7 +20,7 @@
     }
   }
 
-  /** Returns the upstreams that the pool selects, in every failure domain that it names. */
+  /** Returns the upstreams of the pool in all failure domains that it names. */
   getPoolUpstreams(pool: PoolStructure): readonly HostStructure[] {
     const known = this.#pools.get(pool);
     if (known) return known;
--- a/src/core/membership/state_exchange.ts
+++ b/src/core/membership/state_exchange.ts
@@ -1,4 +1,7 @@
-/** Applies what members publish, in order, and fetches what was missed from whoever has it. */
+/**
+ * Applies the published state of members in the order of its versions, and
+ * fetches missed updates from a daemon that has them.
+ */
 import type { Effect } from "../effects.ts";
 import {
   type KnownRevisions,
@@ -16,10 +19,16 @@
 import type { Membership } from "./membership.ts";
 import type { StatePublisher } from "./state_publisher.ts";
 
-/** Time for which an update may still be on its way before it is fetched, and between fetches. */
+/**
+ * Time for which a missing update may still arrive before it is fetched, and
+ * additional time before the fetch is repeated.
+ */
 const FETCH_DELAY_MS = 100;
 const FETCH_RETRY_MS = 500;
-/** Size of the states of one message, about; further ones go in another. */
+/**
+ * Approximate size of the states in one message; further ones go into the next
+ * message.
+ */
 const TRANSFER_BYTES = 262_144;
 
 export interface StateExchangeOptions {
@@ -28,11 +37,11 @@
   publisher: StatePublisher;
   describeSelf: () => MemberRecord;
   emit: (effect: Effect) => void;
-  /** Takes the evictions that an update tells of. */
+  /** Handles the evictions in an update. */
   handleEvictions: (update: StateUpdate, now: Milliseconds) => void;
 }
 
-/** Sent beside the states to a daemon that joins. */
+/** Content of a reply beside the states. */
 export interface JoinContent {
   strikes: StrikeDigest[];
   revisions: KnownRevisions;
@@ -45,7 +54,10 @@
     this.#options = options;
   }
 
-  /** Applies an update that leads on from what is held; notes a gap. */
+  /**
+   * Applies an update that follows the applied version, or a full one; records
+   * a gap otherwise.
+   */
   applyState(from: string, update: StateUpdate, now: Milliseconds): void {
     const { membership } = this.#options;
     const member = membership.members.get(update.publisherId);
@@ -69,7 +81,7 @@
     if (member.appliedVersion >= member.version) member.pendingSync = undefined;
   }
 
-  /** Applies load that belongs to the version held. */
+  /** Applies a load update that belongs to the applied version. */
   applyLoad(update: LoadUpdate, now: Milliseconds): void {
     const { membership } = this.#options;
     const member = membership.members.get(update.publisherId);
@@ -83,7 +95,7 @@
     membership.views.applyLoad(update, now);
   }
 
-  /** Fetches the states that have been behind for some time. */
+  /** Fetches the states whose updates have been missing for some time. */
   tick(now: Milliseconds): void {
     const wanted = new Map<string, string[]>();
     for (const member of this.#options.membership.members.getAll()) {
@@ -108,7 +120,7 @@
     }
   }
 
-  /** Sends the states asked for, in messages of bounded size. */
+  /** Sends the requested states, in messages of bounded size. */
   handleRequest(
     from: string,
     request: StateRequestMessage,
--- a/src/core/membership/state_publisher.ts
+++ b/src/core/membership/state_publisher.ts
@@ -1,7 +1,8 @@
 /**
- * What this daemon publishes: the upstreams that it owns, those of other
- * failure domains that reach it over a link, and whether it hears the platform.
- * Changes carry growing versions; load, which changes all the time, goes apart.
+ * State that this daemon publishes: the upstreams that it owns, those of other
+ * failure domains received over links, and its platform reach. Each update has
+ * the next version. Load changes all the time and is published in separate
+ * updates.
  */
 import {
   type EvictionDigest,
@@ -24,7 +25,9 @@
 
 const STATE_BURST_BYTES = 16_384;
 const STATE_BASE_BYTES = 48;
-/** Evictions that one update tells of. */
+/**
+ * Most evictions in one update; when there are more, the oldest are dropped.
+ */
 const MAX_EVICTIONS = 16;
 
 export class StatePublisher {
@@ -78,7 +81,7 @@
     this.#own.clear();
   }
 
-  /** Replaces what other failure domains say of their upstreams. */
+  /** Replaces the state received from other failure domains. */
   setRemote(
     remote: ReadonlyMap<string, PublishedDigest>,
     linkedDomains: readonly LinkedDomain[],
@@ -88,13 +91,16 @@
     this.#isDirty = true;
   }
 
-  /** Adds evictions to tell the failure domain of once, the latest first when they are many. */
+  /**
+   * Adds evictions to publish once; when there are many, only the latest are
+   * kept.
+   */
   addEvictions(evictions: readonly EvictionDigest[]): void {
     this.#isDirty ||= evictions.length > 0;
     this.#evictions = [...this.#evictions, ...evictions].slice(-MAX_EVICTIONS);
   }
 
-  /** Adds evictions that another failure domain told of. */
+  /** Adds evictions that another failure domain reported. */
   addRemoteEvictions(evictions: readonly EvictionDigest[]): void {
     this.#isDirty ||= evictions.length > 0;
     this.#remoteEvictions = [...this.#remoteEvictions, ...evictions]
@@ -106,7 +112,10 @@
     this.#isDirty ||= reach !== this.#publishedReach;
   }
 
-  /** Returns the changes to publish now, within the budget; undefined when there are none. */
+  /**
+   * Returns the changes to publish now; undefined if there are none or the byte
+   * budget is used up.
+   */
   takeUpdate(now: Milliseconds): StateUpdate | undefined {
     if (!this.#isDirty) return undefined;
     const bytesPerSecond = this.#intervals.getStateBytesPerSecond();
@@ -146,7 +155,10 @@
     return update;
   }
 
-  /** Returns the load of the owned upstreams when it is due and has changed. */
+  /**
+   * Returns the load of the owned upstreams, if an update is due and the load
+   * has changed.
+   */
   takeLoad(now: Milliseconds): LoadUpdate | undefined {
     if (now - this.#lastLoadAt < this.#intervals.getLoadIntervalMs()) {
       return undefined;
@@ -179,7 +191,7 @@
     };
   }
 
-  /** Returns all that is published. */
+  /** Returns the full published state. */
   describeFull(): StateUpdate {
     return this.#describe(0, [...this.#published.values()], []);
   }
@@ -220,7 +232,7 @@
   }
 }
 
-/** Returns the published residency with the present load. */
+/** Returns the published residency with the current load. */
 function mergeLoad(
   published: UpstreamDigest,
   digest: UpstreamDigest,
--- a/src/core/membership/strike_disseminator.ts
+++ b/src/core/membership/strike_disseminator.ts
@@ -1,15 +1,20 @@
-/** Passes on the strikes of requests that crash upstreams: new ones at once, the others in turn with probes. */
+/**
+ * Disseminates the strikes of requests that crash upstreams: new ones at once;
+ * the others are piggybacked on probes, in turn.
+ */
 import type { StrikeDigest } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { UpdateDisseminator } from "./update_disseminator.ts";
 
-/** Strikes that one probe carries. */
+/** Most strikes in one probe. */
 const MAX_PROBE_STRIKES = 4;
 
 export class StrikeDisseminator {
   readonly #getStrikes: (now: Milliseconds) => StrikeDigest[];
   readonly #disseminator: UpdateDisseminator;
-  /** Counts that the failure domain has been told, by fingerprint. */
+  /**
+   * Strike counts already disseminated in the failure domain, by fingerprint.
+   */
   #disseminated = new Map<string, number>();
   #current: StrikeDigest[] = [];
   #nextIndex = 0;
@@ -22,7 +27,7 @@
     this.#disseminator = disseminator;
   }
 
-  /** Looks for new strikes; returns whether there are any to pass on. */
+  /** Queues new strikes for dissemination; returns whether there are any. */
   tick(now: Milliseconds): boolean {
     this.#current = this.#getStrikes(now);
     const newStrikes = this.#current.filter((digest) =>
@@ -35,7 +40,9 @@
     return newStrikes.length > 0;
   }
 
-  /** Notes that the failure domain has been told already. */
+  /**
+   * Records strikes received from a peer, which the failure domain already has.
+   */
   recordReceived(strikes: readonly StrikeDigest[]): void {
     for (const { fingerprint, strikes: count } of strikes) {
       this.#disseminated.set(
@@ -49,7 +56,7 @@
     return this.#current;
   }
 
-  /** Returns a few, others each time. */
+  /** Returns a few strikes, different ones each time. */
   selectNext(): StrikeDigest[] {
     const count = Math.min(MAX_PROBE_STRIKES, this.#current.length);
     const selected: StrikeDigest[] = [];
--- a/src/core/membership/update_disseminator.ts
+++ b/src/core/membership/update_disseminator.ts
@@ -1,4 +1,7 @@
-/** Collects updates for the failure domain and passes them on, together where they go the same way. */
+/**
+ * Disseminates updates in the failure domain, in batches of updates that have
+ * the same targets.
+ */
 import type { Effect } from "../effects.ts";
 import type {
   HostListDelta,
@@ -12,12 +15,12 @@
 import type { Milliseconds } from "../structures.ts";
 import { listDisseminationTargets } from "./dissemination_tree.ts";
 
-/** Time for which urgent updates wait for others. */
+/** Time for which urgent updates wait to be batched with others. */
 const URGENT_BATCHING_MS = 15;
-/** Span of updates that begin here: the whole ring. */
+/** Span of updates that originate at this daemon: the whole ring. */
 const WHOLE_RING = Number.MAX_SAFE_INTEGER;
 
-/** Updates to be passed on over the same span. */
+/** Updates to be sent over the same span. */
 interface Batch {
   content: Omit<SpreadMessage, "kind" | "span">;
   since: Milliseconds;
@@ -64,7 +67,9 @@
     this.#getBatch(WHOLE_RING, true, now).strikes.push(...strikes);
   }
 
-  /** Passes on what another daemon sent, to those that this one has to feed. */
+  /**
+   * Forwards the updates that another daemon sent to the daemons in its span.
+   */
   forward(message: SpreadMessage, now: Milliseconds): void {
     if (message.span === 0) return;
     const isUrgent = message.members.length > 0 || message.states.length > 0 ||
@@ -79,7 +84,7 @@
     content.strikes.push(...message.strikes);
   }
 
-  /** Sends what has waited long enough. */
+  /** Sends the batches that have waited long enough. */
   tick(now: Milliseconds): void {
     for (const [span, batch] of this.#batches) {
       const batchingMs = batch.isUrgent
@@ -89,7 +94,7 @@
     }
   }
 
-  /** Sends everything at once. */
+  /** Sends all batches at once. */
   flush(): void {
     for (const [span, batch] of this.#batches) this.#send(span, batch);
   }
--- a/src/core/membership/view_store.ts
+++ b/src/core/membership/view_store.ts
@@ -1,7 +1,8 @@
 /**
- * The upstreams as daemons publish them: owners those of this failure domain,
- * links those of others. Where several publish one upstream, an owner's own
- * word goes before what is passed on, and the later before the earlier.
+ * Views of the upstreams as daemons publish them: owners publish those of this
+ * failure domain, receivers of links those of others. Where several daemons
+ * publish the same upstream, a digest published by the owner itself wins over a
+ * relayed one, then the later over the earlier.
  */
 import type {
   LoadUpdate,
@@ -12,19 +13,19 @@
 import type { Milliseconds } from "../structures.ts";
 import { AdapterIndex } from "./adapter_index.ts";
 
-/** What an owner last published of an upstream, with its age. */
+/** State of an upstream as last published, and when it was received. */
 export interface UpstreamView {
   ownerId: string;
   receivedAt: Milliseconds;
   digest: UpstreamDigest;
 }
 
-/** Words of one daemon, by upstream. */
+/** Views published by one daemon, by upstream. */
 type PublishedViews = Map<string, UpstreamView>;
 
 export class ViewStore {
   readonly #publishers = new Map<string, PublishedViews>();
-  /** Daemons that publish the upstream. */
+  /** Ids of the daemons that publish an upstream, by upstream. */
   readonly #publisherIds = new Map<string, Set<string>>();
   readonly #views = new Map<string, UpstreamView>();
   readonly #ownedCounts = new Map<string, number>();
@@ -34,7 +35,7 @@
     return this.#views.get(upstreamId);
   }
 
-  /** Returns whether the daemon is named as the owner of any upstream. */
+  /** Returns whether any view names the daemon as the owner. */
   isOwner(daemonId: string): boolean {
     return this.#ownedCounts.has(daemonId);
   }
@@ -43,7 +44,7 @@
     return this.#adapters.getUpstreamIds(adapterKey);
   }
 
-  /** Returns what the daemon publishes of the upstream. */
+  /** Returns the view of the upstream that the daemon publishes. */
   getPublished(
     publisherId: string,
     upstreamId: string,
@@ -51,7 +52,10 @@
     return this.#publishers.get(publisherId)?.get(upstreamId);
   }
 
-  /** Returns whether another daemon publishes that it owns the upstream. */
+  /**
+   * Returns whether another daemon publishes that it owns the upstream and that
+   * the upstream is up.
+   */
   hasOtherOwner(selfId: string, upstreamId: string): boolean {
     for (const publisherId of this.#publisherIds.get(upstreamId) ?? []) {
       const view = this.getPublished(publisherId, upstreamId);
@@ -62,7 +66,7 @@
     return false;
   }
 
-  /** Returns all that the daemon publishes. */
+  /** Returns all digests that the daemon publishes. */
   listPublished(publisherId: string): PublishedDigest[] {
     return [...this.#publishers.get(publisherId)?.values() ?? []]
       .map(({ ownerId, digest }) => ({ ownerId, digest }));
@@ -101,7 +105,10 @@
     this.#publishers.delete(publisherId);
   }
 
-  /** Applies changes of what a daemon publishes, or all of it when they are in full. */
+  /**
+   * Applies an update of the state that a daemon publishes; a full one replaces
+   * the previous state.
+   */
   applyState(update: StateUpdate, now: Milliseconds): void {
     const { publisherId, digests } = update;
     if (update.fromVersion === 0) {
@@ -117,7 +124,10 @@
     for (const published of digests) this.set(publisherId, published, now);
   }
 
-  /** Applies the load of the upstreams that the publisher owns, in the order of their ids. */
+  /**
+   * Applies a load update, which lists the upstreams that the publisher owns in
+   * the order of their ids.
+   */
   applyLoad(update: LoadUpdate, now: Milliseconds): void {
     const views = this.#publishers.get(update.publisherId);
     for (
@@ -194,7 +204,10 @@
   }
 }
 
-/** Returns the ids of the upstreams that the publisher owns itself, in the order that load updates use. */
+/**
+ * Returns the sorted ids of the upstreams that the publisher itself owns, the
+ * order that load updates use.
+ */
 export function listOwnUpstreamIds(
   publisherId: string,
   published: Iterable<PublishedDigest>,
--- a/src/core/membership_messages.ts
+++ b/src/core/membership_messages.ts
@@ -1,4 +1,7 @@
-/** Messages by which daemons learn of each other: probes, what is spread in a failure domain, links between domains. */
+/**
+ * Membership messages: probes, updates disseminated within a failure domain,
+ * and links between failure domains.
+ */
 import type {
   EvictionDigest,
   StrikeDigest,
@@ -6,30 +9,38 @@
 } from "./messages.ts";
 import type { HostListDelta, TablesDelta } from "./table_messages.ts";
 
-/** How a daemon stands in the eyes of its failure domain; a later one overrides an earlier one of the same number. */
+/**
+ * Status of a daemon as its failure domain sees it. Between records of the same
+ * number, the higher status wins.
+ */
 export const MemberStatus = { Alive: 0, Suspect: 1, Dead: 2 } as const;
 export type MemberStatus = (typeof MemberStatus)[keyof typeof MemberStatus];
 
-/** What is known of a daemon's life. */
+/** Liveness record of a daemon, which members exchange. */
 export interface MemberRecord {
   id: string;
-  /** Differs in each start of the process. */
+  /** Identifies one run of the process. */
   incarnation: string;
-  /** Raised by the daemon itself, to refute what is said of it. */
+  /**
+   * Raised only by the daemon itself, to refute a wrong record about it, like
+   * the incarnation number of SWIM.
+   */
   number: number;
   status: MemberStatus;
   leaving: boolean;
-  /** Version of the state that the daemon has published. */
+  /**
+   * Version of the daemon's published state that the sender of the record has.
+   */
   version: number;
 }
 
-/** Revisions that a daemon holds. */
+/** Revisions of the tables and of the host list that a daemon has. */
 export interface KnownRevisions {
   tablesRevision: number;
   hostListRevision: number;
 }
 
-/** Asks a daemon for a sign of life; carries records of some others. */
+/** Direct probe of a daemon, with piggybacked records of some other members. */
 export interface ProbeMessage extends KnownRevisions {
   kind: "probe";
   probeId: number;
@@ -46,20 +57,23 @@
   members: MemberRecord[];
 }
 
-/** Asks a daemon to probe another on behalf of the sender. */
+/** Indirect probe: asks a daemon to probe another one for the sender. */
 export interface ProbeRequestMessage {
   kind: "probeRequest";
   probeId: number;
   targetId: string;
 }
 
-/** A digest as a daemon publishes it: of an upstream of its own, or one passed on from another failure domain. */
+/**
+ * An upstream's digest as a daemon publishes it: of an upstream that it owns,
+ * or relayed from another failure domain.
+ */
 export interface PublishedDigest {
   ownerId: string;
   digest: UpstreamDigest;
 }
 
-/** What a daemon hears from the platform. */
+/** Whether a daemon reads the platform, and whether its last read succeeded. */
 export const PlatformReach = {
   NotReading: "",
   Reached: "reached",
@@ -67,7 +81,9 @@
 } as const;
 export type PlatformReach = (typeof PlatformReach)[keyof typeof PlatformReach];
 
-/** Changes of a daemon's published state; from version 0, the state in full. */
+/**
+ * Changes to a daemon's published state; with `fromVersion` 0, the full state.
+ */
 export interface StateUpdate {
   publisherId: string;
   incarnation: string;
@@ -76,21 +92,27 @@
   digests: PublishedDigest[];
   removedUpstreamIds: string[];
   platformReach: PlatformReach;
-  /** Other failure domains that reach the daemon over a link. */
+  /** Other failure domains that send updates to the daemon over a link. */
   linkedDomains: LinkedDomain[];
-  /** What has been evicted here since the version before, and what other failure domains told of. */
+  /**
+   * Adapters that the publisher evicted since the previous version;
+   * `toldEvictions` are those that other failure domains reported to it.
+   */
   evictions: EvictionDigest[];
   toldEvictions: EvictionDigest[];
 }
 
-/** What is known of another failure domain as a whole. */
+/** Properties of another failure domain, as received over a link. */
 export interface LinkedDomain {
   failureDomain: string;
-  /** Daemon that keeps its part of the weight store; empty when it has none. */
+  /** Store coordinator of the failure domain; empty if it has none. */
   storeKeeperId: string;
 }
 
-/** Load of a daemon's own upstreams in the order of their ids, at a version of its state. */
+/**
+ * Load of the upstreams that a daemon owns, in the order of their ids. The
+ * version of the published state determines which upstreams these are.
+ */
 export interface LoadUpdate {
   publisherId: string;
   incarnation: string;
@@ -101,10 +123,13 @@
   victimValues: number[];
 }
 
-/** Updates on their way through the failure domain. */
+/** Updates that are disseminated within the failure domain. */
 export interface SpreadMessage {
   kind: "spread";
-  /** Daemons next in the ring that the receiver passes the updates on to. */
+  /**
+   * Number of daemons after the receiver in the ring to which it forwards the
+   * updates, directly or through others.
+   */
   span: number;
   members: MemberRecord[];
   states: StateUpdate[];
@@ -114,7 +139,10 @@
   strikes: StrikeDigest[];
 }
 
-/** Asks for the state of some daemons of the failure domain, or of all when none is named. */
+/**
+ * Requests the published state of some daemons of the failure domain, or of all
+ * if the list is empty.
+ */
 export interface StateRequestMessage {
   kind: "stateRequest";
   memberIds: string[];
@@ -122,25 +150,27 @@
 
 export interface StateTransferMessage extends KnownRevisions {
   kind: "stateTransfer";
-  /** Whether this is the last message of an answer that names every daemon. */
+  /** Whether this is the last message of a reply that covers all daemons. */
   joined: boolean;
   members: MemberRecord[];
   states: StateUpdate[];
   strikes: StrikeDigest[];
 }
 
-/** What one failure domain tells another. */
+/** State that one failure domain exports to another. */
 export interface LinkUpdateMessage extends KnownRevisions {
   kind: "linkUpdate";
   failureDomain: string;
   incarnation: string;
   sequence: number;
-  /** Whether the digests replace all that the sender told before. */
+  /** Whether the digests replace all that the sender sent before. */
   full: boolean;
   digests: PublishedDigest[];
   removedUpstreamIds: string[];
   strikes: StrikeDigest[];
-  /** Daemon that keeps the failure domain's part of the weight store; empty when there is none. */
+  /**
+   * Store coordinator of the sender's failure domain; empty if there is none.
+   */
   storeKeeperId: string;
   evictions: EvictionDigest[];
 }
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -24,35 +24,40 @@
 export * from "./membership_messages.ts";
 export * from "./table_messages.ts";
 
-/** What an owner publishes of one upstream. */
+/** State of one upstream, as its owner publishes it. */
 export interface UpstreamDigest {
   upstreamId: string;
   residents: string[];
-  /** Adapters whose load has been ordered. */
+  /** Adapters for which a load has been ordered. */
   loading: string[];
-  /** Batch credits out on leases. */
+  /** Credits granted in leases and not yet returned. */
   creditsInUse: number;
-  /** Lease requests waiting. */
+  /** Lease requests that wait in the owner's queue. */
   waiting: number;
-  /** Value of the adapter that would be evicted next; 0 with a free slot. */
+  /**
+   * Retention value of the adapter that would be evicted next; 0 while an
+   * adapter slot is free.
+   */
   victimValue: number;
   leaving: boolean;
   up: boolean;
 }
 
-/** What is known of a request that ran on upstreams that died. */
+/** Upstream crashes attributed to one request. */
 export interface StrikeDigest {
   fingerprint: string;
-  /** Upstreams that died while running the request alone. */
+  /**
+   * Number of upstreams that died while the request was the only one running.
+   */
   strikes: number;
-  /** Remaining lifetime. */
+  /** Time until the record expires. */
   expiresInMs: number;
 }
 
-/** How popular an adapter was when its slot was given up. */
+/** Popularity of an adapter at the time of its eviction. */
 export interface EvictionDigest {
   adapterKey: string;
-  /** Decayed count of requests. */
+  /** Request count, decayed over time. */
   score: number;
 }
 
@@ -64,14 +69,19 @@
   credits: number;
   priorityRank: number;
   customer: string;
-  /** Time left to the earliest deadline of the waiting requests. */
+  /** Time until the earliest deadline among the waiting requests. */
   remainingMs: number;
   maxRunMs: number;
-  /** Whether the run must have the upstream to itself. */
+  /** Whether the request must run alone on the upstream. */
   exclusive: boolean;
-  /** Whether the adapter is known to be elsewhere and a further copy is wanted. */
+  /**
+   * Whether another upstream is known to have the adapter and an additional
+   * replica is requested.
+   */
   isCopy: boolean;
-  /** Time of this sending on the holder's clock, for the grant to return. */
+  /**
+   * Send time of this message on the requester's clock; the grant echoes it.
+   */
   sentAtMs: number;
 }
 
@@ -82,9 +92,12 @@
   upstreamId: string;
   adapterKey: string;
   credits: number;
-  /** Dispatch window, counted by the holder from `requestSentAtMs`. */
+  /**
+   * Time after `requestSentAtMs`, on the holder's clock, during which requests
+   * may be dispatched under the lease.
+   */
   windowMs: number;
-  /** Time of the sending that is granted, on the holder's clock. */
+  /** `sentAtMs` of the request that is granted. */
   requestSentAtMs: number;
   exclusive: boolean;
   /** Incarnation of the upstream at the time of the grant. */
@@ -100,9 +113,12 @@
   adapterKey: string;
   reason: LeaseRefusalReason;
   retryAfterMs: number;
-  /** Upstream that has the adapter, with `redirected`; else empty. */
+  /**
+   * Upstream that has the adapter, if the reason is `redirected`; otherwise
+   * empty.
+   */
   redirectUpstreamId: string;
-  /** Daemon that the refuser takes for the owner; empty when unknown. */
+  /** Daemon that the sender considers the owner; empty if unknown. */
   ownerId: string;
 }
 
@@ -110,7 +126,10 @@
   kind: "leaseReturn";
   leaseId: string;
   upstreamId: string;
-  /** Credits of the lease returned so far, these included. */
+  /**
+   * Total number of credits returned under the lease so far, including those
+   * that this message returns.
+   */
   returnedCredits: number;
 }
 
@@ -120,16 +139,16 @@
   upstreamId: string;
 }
 
-/** A lease as its owner hands it over. */
+/** A lease, as the previous owner describes it to the next one. */
 export interface LeaseHandoverStructure {
   leaseId: string;
   exclusive: boolean;
   holder: string;
   adapterKey: string;
-  /** Credits not returned. */
+  /** Credits that have not been returned yet. */
   credits: number;
   returnedCredits: number;
-  /** Time until which a run under the lease may go on. */
+  /** Time for which a request may still run under the lease. */
   remainingMs: number;
 }
 
@@ -139,27 +158,33 @@
   upstreamIncarnation: string;
   fencing: number;
   leases: LeaseHandoverStructure[];
-  /** Time for which runs may still start that earlier owners permitted. */
+  /**
+   * Time during which requests may still be dispatched under leases of earlier
+   * owners.
+   */
   predecessorWindowMs: number;
-  /** Time for which such runs may still go on. */
+  /** Time during which such requests may still be running. */
   predecessorWaitMs: number;
 }
 
-/** What a daemon, or the keeper of another failure domain, wants to load. */
+/**
+ * Loads from the weight store that a daemon, or the store coordinator of
+ * another failure domain, requests permits for.
+ */
 export interface StoreDemandMessage {
   kind: "storeDemand";
   loads: number;
-  /** Urgency of the most urgent load. */
+  /** Urgency of the most urgent of these loads. */
   urgency: number;
   /** Failure domain in which the loads take place. */
   failureDomain: string;
 }
 
-/** Permission to start one load. */
+/** Permission to start one load from the weight store. */
 export interface StorePermitMessage {
   kind: "storePermit";
   permitId: string;
-  /** Keeper that gave the permit and to which it is returned. */
+  /** Store coordinator that issued the permit and to which it is returned. */
   lenderId: string;
 }
 
@@ -170,12 +195,12 @@
   wasUsed: boolean;
 }
 
-/** A keeper's answer to a demand of its failure domain. */
+/** A store coordinator's reply to a demand from its failure domain. */
 export interface StoreStatusMessage {
   kind: "storeStatus";
-  /** Loads of the domain that wait for a permit. */
+  /** Loads in the domain that wait for a permit. */
   waitingLoads: number;
-  /** Rate at which the domain has lately been given permits. */
+  /** Recent rate at which the domain was granted permits. */
   loadsPerSecond: number;
 }
 
@@ -187,7 +212,7 @@
   fingerprint: string;
 }
 
-/** The home's answer to a claim. */
+/** Decision on a ticket claim by the daemon that issued the ticket. */
 export const ClaimVerdict = {
   Granted: "granted",
   InProgress: "inProgress",
@@ -198,13 +223,13 @@
 } as const;
 export type ClaimVerdict = (typeof ClaimVerdict)[keyof typeof ClaimVerdict];
 
-/** The answer kept for a ticket, replayed to repeated calls. */
+/** The response stored for a ticket, replayed when the call is repeated. */
 export interface StoredAnswerStructure {
   outcome: Outcome;
   status: number;
   contentType: string;
   body: Uint8Array;
-  /** False when the body was too large to keep. */
+  /** False if the body was too large to store. */
   bodyKept: boolean;
 }
 
@@ -220,11 +245,11 @@
   claimId: string;
   ticket: string;
   customer: string;
-  /** Absent when the claim is released because the request did not run. */
+  /** Absent if the request did not run and the claim is released. */
   answer?: StoredAnswerStructure;
 }
 
-/** Messages about peers, the tables and the host list. */
+/** Messages about membership, links, the tables and the host list. */
 export type ControlMessage =
   | ProbeMessage
   | ProbeAckMessage
--- a/src/core/table_messages.ts
+++ b/src/core/table_messages.ts
@@ -1,4 +1,6 @@
-/** Messages that bring newer revisions of the tables and of the host list. */
+/**
+ * Messages that transfer newer revisions of the tables and of the host list.
+ */
 import type {
   CustomerStructure,
   HostStructure,
@@ -6,12 +8,15 @@
   RouteStructure,
 } from "./structures.ts";
 
-/** Asks for what is newer than the revisions named. */
+/** Requests everything newer than the given revisions. */
 export interface TablesRequestMessage {
   kind: "tablesRequest";
   knownTablesRevision: number;
   knownHostListRevision: number;
-  /** Whether deltas did not lead to the revision that they name. */
+  /**
+   * Whether to send full transfers, because a delta was invalid or its result
+   * did not match the digest.
+   */
   needsFull: boolean;
 }
 
@@ -19,7 +24,7 @@
 export interface TablesDelta {
   fromRevision: number;
   toRevision: number;
-  /** Digest of the tables as a whole at the later revision. */
+  /** Digest of the complete tables at `toRevision`. */
   digest: string;
   customers: CustomerStructure[];
   routes: RouteStructure[];
@@ -33,33 +38,33 @@
 export interface HostListDelta {
   fromRevision: number;
   toRevision: number;
-  /** Digest of the host list as a whole at the later revision. */
+  /** Digest of the complete host list at `toRevision`. */
   digest: string;
   hosts: HostStructure[];
   removedHosts: string[];
 }
 
-/** Consecutive deltas, the earliest first. */
+/** Consecutive deltas, oldest first. */
 export interface TablesTransferMessage {
   kind: "tablesTransfer";
   tablesDeltas: TablesDelta[];
   hostListDeltas: HostListDelta[];
 }
 
-/** Place of a chunk in a transfer of one revision in full. */
+/** Position of a chunk in a full transfer of one revision. */
 export interface ChunkPosition {
   revision: number;
-  /** Digest of the whole at this revision. */
+  /** Digest of the complete tables or host list at this revision. */
   digest: string;
   index: number;
   count: number;
 }
 
-/** Tables that are transferred in full, in chunks. */
+/** What can be transferred in full, in chunks. */
 export const ChunkedTable = { Tables: "tables", HostList: "hostList" } as const;
 export type ChunkedTable = (typeof ChunkedTable)[keyof typeof ChunkedTable];
 
-/** Asks for the next chunk of a transfer. */
+/** Requests the chunk with the given index of a transfer. */
 export interface ChunkRequestMessage {
   kind: "chunkRequest";
   table: ChunkedTable;
--- a/test/core/membership/large_fleet_test.ts
+++ b/test/core/membership/large_fleet_test.ts
@@ -1,7 +1,8 @@
 /**
- * The target's 902 daemons waking or starting at once: the calls on the
- * configuration service are counted. Two of the eleven failure domains run, and
- * may make their part of the calls; `npm run bench -- wake` runs all.
+ * Guards against a fleet of 902 daemons overloading the configuration service
+ * when all start or resume at once, or when the platform comes back after an
+ * outage. Two of the eleven failure domains run here and may make their share
+ * of the calls; `npm run bench -- wake` runs all.
  */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -21,7 +22,7 @@
 };
 const DOMAINS_RUN = 2;
 const DAEMONS_RUN = DOMAINS_RUN * SIZES.daemonsPerDomain;
-/** Part of the calls a second that the configuration service bears. */
+/** Share of the calls per second that the configuration service can serve. */
 const MAX_CALLS_PER_SECOND = 2_000 * DOMAINS_RUN / SIZES.domains;
 
 function getPeakCallsPerSecond(fleet: ControlFleet): number {
@@ -43,14 +44,14 @@
 });
 fleet.tables = createTables(SIZES, 2);
 
-test("daemons that start at once serve, within the calls allowed", () => {
+test("daemons that start at once all serve and stay within the call limit", () => {
   fleet.run(8_000);
   assert.is(countServing(fleet), DAEMONS_RUN);
   const peak = getPeakCallsPerSecond(fleet);
   assert.ok(peak <= MAX_CALLS_PER_SECOND, `${peak} calls in a second`);
 });
 
-test("daemons that wake at once stay within the calls allowed", () => {
+test("daemons that resume at once stay within the call limit", () => {
   for (const node of fleet.listNodes()) node.isPaused = true;
   fleet.run(20_000);
   fleet.clearCounts();
@@ -62,7 +63,7 @@
   assert.is(readers, DOMAINS_RUN * 2);
 });
 
-test("daemons before a platform that is down and comes back stay within them too", () => {
+test("daemons stay within the call limit while the platform is down and when it comes back", () => {
   fleet.isPlatformUp = false;
   fleet.clearCounts();
   fleet.run(15_000);
--- a/test/core/membership/membership_fixtures.ts
+++ b/test/core/membership/membership_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builders of plain data for the tests of membership. */
+/** Fixtures for the membership tests. */
 import type { PoolStructure } from "../../../src/core/structures.ts";
 
 export function createPool(
--- a/test/core/membership/membership_fleet_test.ts
+++ b/test/core/membership/membership_fleet_test.ts
@@ -1,4 +1,8 @@
-/** Daemons' cores against each other: deaths, pauses, cuts, and messages lost, late, twice or crossed. */
+/**
+ * Runs the cores of many daemons against each other, with dead and paused
+ * daemons, network partitions, and messages that are lost, delayed, duplicated
+ * or reordered.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
@@ -32,7 +36,7 @@
   return fleet;
 }
 
-/** Returns the daemons that each daemon of the failure domain takes for live. */
+/** Returns the peers in its failure domain that the observer considers live. */
 function listLive(fleet: ControlFleet, observerId: string): string[] {
   const { core, host } = fleet.getNode(observerId);
   return core.describe(fleet.now).peers
@@ -82,7 +86,7 @@
   assert.ok([...owners.values()].every((count) => count === 1));
 });
 
-test("a dead daemon is found within two seconds and its upstreams pass on", () => {
+test("a dead daemon is detected within two seconds and its upstreams get new owners", () => {
   for (const sizes of [FOUR_DOMAINS, ONE_DOMAIN]) {
     for (let offset = 0; offset < 5; offset += 1) {
       const fleet = startFleet(sizes);
@@ -92,7 +96,7 @@
         () => !listLive(fleet, "entry-0-1").includes("entry-0-0"),
         10_000,
       );
-      assert.ok(foundMs <= 2_200, `found after ${foundMs} ms`);
+      assert.ok(foundMs <= 2_200, `detected after ${foundMs} ms`);
       fleet.run(500);
       const owners = countOwners(fleet);
       const all = sizes.domains * sizes.upstreamsPerDomain;
@@ -101,7 +105,7 @@
   }
 });
 
-test("a short pause kills nobody; a long one makes a daemon begin anew", () => {
+test("a short pause makes no daemon dead; after a long one, the paused daemon rejoins", () => {
   const fleet = startFleet(ONE_DOMAIN);
   const paused = fleet.getNode("entry-0-0");
   paused.isPaused = true;
@@ -124,12 +128,12 @@
       ),
     10_000,
   );
-  assert.ok(backMs <= 3_000, `back after ${backMs} ms`);
+  assert.ok(backMs <= 3_000, `rejoined after ${backMs} ms`);
   fleet.run(2_000);
   assert.ok([...countOwners(fleet).values()].every((count) => count === 1));
 });
 
-test("a daemon that restarted is not taken for the one before", () => {
+test("a restarted daemon is not mistaken for its previous run", () => {
   const fleet = startFleet(ONE_DOMAIN);
   const { host } = fleet.getNode("entry-0-0");
   fleet.getNode("entry-0-0").isAlive = false;
@@ -143,7 +147,7 @@
   assert.is(countOwners(fleet).size, 4);
 });
 
-test("a change of residency is seen everywhere within 300 ms of its reading", () => {
+test("a residency change reaches every daemon within 300 ms after the owner has read it", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   const state = fleet.upstreams.get("upstream-0-0");
   fleet.upstreams.set("upstream-0-0", {
@@ -169,7 +173,7 @@
   assert.ok(seenMs <= 300, `seen after ${seenMs} ms`);
 });
 
-test("one direction of a cut between two kills neither of them", () => {
+test("a one-way loss of connection between two daemons makes neither of them dead", () => {
   const fleet = startFleet(ONE_DOMAIN);
   fleet.transit = (from, to) =>
     from === "entry-0-0" && to === "entry-0-1" ? [] : [1];
@@ -181,7 +185,7 @@
   }
 });
 
-test("a failure domain that is cut off serves, and is one again afterwards", () => {
+test("a partitioned failure domain keeps serving and reconnects when the partition heals", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   const isOutside = (id: string): boolean => !id.startsWith("entry-0-");
   fleet.transit = (from, to) => isOutside(from) === isOutside(to) ? [1] : [];
@@ -200,7 +204,7 @@
   assert.ok(hasEveryDaemonRevision(fleet, 3));
 });
 
-test("both halves of a split failure domain become one again", () => {
+test("the halves of a partitioned failure domain merge when the partition heals", () => {
   const fleet = startFleet(ONE_DOMAIN);
   const isLeft = (id: string): boolean => Number(id.split("-")[2]) < 4;
   fleet.transit = (from, to) => isLeft(from) === isLeft(to) ? [1] : [];
@@ -220,7 +224,7 @@
   assert.ok([...countOwners(fleet).values()].every((count) => count === 1));
 });
 
-test("messages lost, late, twice and crossed are made up for", () => {
+test("state converges after lost, delayed, duplicated and reordered messages", () => {
   for (let seed = 1; seed <= 5; seed += 1) {
     const random = new SplitMix(seed);
     const fleet = startFleet(FOUR_DOMAINS);
@@ -268,14 +272,14 @@
   }
 });
 
-test("a change of configuration is in force everywhere within a second", () => {
+test("a configuration change takes effect on every daemon within a second", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   fleet.tables = editTables(fleet.tables!, 3);
   const doneMs = fleet.runUntil(() => hasEveryDaemonRevision(fleet, 3), 5_000);
-  assert.ok(doneMs <= 1_000, `in force after ${doneMs} ms`);
+  assert.ok(doneMs <= 1_000, `effective after ${doneMs} ms`);
 });
 
-test("a daemon that starts takes the tables of its peers, not of a stale platform", () => {
+test("a starting daemon uses the newer tables of its peers when the platform serves stale ones", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   for (let edit = 0; edit < 5; edit += 1) {
     fleet.tables = editTables(fleet.tables!, edit);
@@ -291,7 +295,7 @@
   assert.is(restarted.core.getSnapshot()?.revision, newest);
 });
 
-test("a failure domain that starts as a whole takes newer tables from others", () => {
+test("a failure domain whose daemons all restart gets newer tables from other domains", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   fleet.tables = editTables(fleet.tables!, 1);
   fleet.run(2_000);
@@ -307,7 +311,7 @@
   }
 });
 
-test("two daemons a failure domain read the platform, and others in their place", () => {
+test("two daemons per failure domain read the platform and are replaced when they die", () => {
   const fleet = startFleet(ONE_DOMAIN);
   const listReaders = (): string[] =>
     fleet.listNodes()
@@ -323,7 +327,7 @@
   assert.ok(hasEveryDaemonRevision(fleet, 3));
 });
 
-test("a claim of a ticket homed in another failure domain reaches its home", () => {
+test("a ticket claim reaches an issuer in another failure domain and is refused if the issuer is dead", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   const node = fleet.getNode("entry-0-0");
   const homes = node.core.describe(fleet.now).peers;
--- a/test/core/membership/pool_index_test.ts
+++ b/test/core/membership/pool_index_test.ts
@@ -38,7 +38,7 @@
   };
 }
 
-test("finds the upstreams of a pool in its failure domains only", () => {
+test("finds the upstreams of a pool only in the failure domains of the pool", () => {
   const index = new PoolIndex([
     createUpstream("w1", "writer", "a"),
     createUpstream("w2", "writer", "b"),
@@ -51,7 +51,7 @@
   assert.is(index.getPoolUpstreams(pool), index.getPoolUpstreams(pool));
 });
 
-test("follows an adapter from one upstream to another", () => {
+test("updates the index when an adapter moves from one upstream to another", () => {
   const index = new AdapterIndex();
   const first = createDigest("w1", ["a@1"], ["b@1"]);
   index.update(undefined, first);
--- a/test/core/membership/split_mix.ts
+++ b/test/core/membership/split_mix.ts
@@ -1,4 +1,4 @@
-/** A small seeded generator of numbers from 0 to 1 for the tests. */
+/** Seeded SplitMix random number generator for the tests, from 0 to 1. */
 export class SplitMix {
   #state: number;
 
--- a/test/core/membership/state_publisher_test.ts
+++ b/test/core/membership/state_publisher_test.ts
@@ -17,7 +17,7 @@
   };
 }
 
-test("an upstream given up in the same moment as another change is published no longer", () => {
+test("an upstream removed together with another change is no longer published", () => {
   const publisher = new StatePublisher(
     "entry-1",
     "i1",
