--- a/src/core/membership/failure_detector.ts
+++ b/src/core/membership/failure_detector.ts
@@ -194,10 +194,10 @@
   }
 
   #checkSuspects(now: Milliseconds): void {
-    const { members, peerTimeoutMs, intervals: periods } = this.#options;
+    const { members, peerTimeoutMs, intervals } = this.#options;
     const suspicionMs = Math.max(
-      peerTimeoutMs * DEAD_TIMEOUT_RATIO - periods.getProbeIntervalMs(),
-      periods.getProbeIntervalMs(),
+      peerTimeoutMs * DEAD_TIMEOUT_RATIO - intervals.getProbeIntervalMs(),
+      intervals.getProbeIntervalMs(),
     );
     for (const member of members.getAll()) {
       if (member.status !== MemberStatus.Suspect) continue;
@@ -213,12 +213,12 @@
    * Probes hosts that are unknown or dead, in turn, so that they can rejoin.
    */
   #sendProbesToMissingHosts(now: Milliseconds): void {
-    const { members, intervals: periods } = this.#options;
+    const { members, intervals } = this.#options;
     const isIsolated = members.getRing().length === 1;
     this.#nextReconnectAt = now +
       (isIsolated
-        ? periods.getProbeIntervalMs()
-        : periods.getReconnectIntervalMs());
+        ? intervals.getProbeIntervalMs()
+        : intervals.getReconnectIntervalMs());
     const missing = members.listMissingHosts();
     const count = Math.min(
       missing.length,
--- a/src/core/membership/link_manager.ts
+++ b/src/core/membership/link_manager.ts
@@ -164,13 +164,12 @@
   }
 
   #sendUpdate(link: LinkSender, now: Milliseconds): void {
-    const { intervals: periods, incarnation, failureDomain, emit } =
-      this.#options;
+    const { intervals, incarnation, failureDomain, emit } = this.#options;
     const content = this.#describeContent(link.failureDomain, now);
     const body = link.takeUpdate(content, {
-      heartbeatMs: periods.getLinkHeartbeatMs(),
+      heartbeatMs: intervals.getLinkHeartbeatMs(),
       timeoutMs: this.#getTimeoutMs(),
-      loadIntervalMs: periods.getLinkLoadIntervalMs(
+      loadIntervalMs: intervals.getLinkLoadIntervalMs(
         estimateContentBytes(content),
       ),
     }, now);
--- a/src/core/membership/link_sender.ts
+++ b/src/core/membership/link_sender.ts
@@ -154,10 +154,10 @@
 
   /** Returns an update without content, if one is due. */
   #takeEmptyUpdate(
-    periods: LinkIntervals,
+    intervals: LinkIntervals,
     now: Milliseconds,
   ): LinkUpdateBody | undefined {
-    if (now - this.#lastSentAt < periods.heartbeatMs) return undefined;
+    if (now - this.#lastSentAt < intervals.heartbeatMs) return undefined;
     this.#lastSentAt = now;
     this.#sequence += 1;
     return {
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -378,8 +378,8 @@
   #findLinkedDomain(failureDomain: string): LinkedDomain | undefined {
     const isMatch = (domain: LinkedDomain): boolean =>
       domain.failureDomain === failureDomain;
-    const own = this.#linkedDomains.find(isMatch);
-    if (own) return own;
+    const direct = this.#linkedDomains.find(isMatch);
+    if (direct) return direct;
     for (const member of this.members.getAll()) {
       if (member.status === MemberStatus.Dead) continue;
       const advertised = member.linkedDomains.find(isMatch);
--- a/src/core/membership/peer_protocol.ts
+++ b/src/core/membership/peer_protocol.ts
@@ -122,7 +122,7 @@
     this.#detector = new FailureDetector({
       selfId,
       peerTimeoutMs: settings.peerTimeoutMs,
-      intervals: intervals,
+      intervals,
       members,
       emit,
       describeSelf,
@@ -145,7 +145,7 @@
       incarnation,
       failureDomain,
       peerTimeoutMs: settings.peerTimeoutMs,
-      intervals: intervals,
+      intervals,
       views,
       emit,
       getRing,
@@ -391,9 +391,9 @@
   #checkOwnRecord(record: MemberRecord, now: Milliseconds): void {
     const isIncorrect = record.incarnation !== this.#options.incarnation ||
       record.status !== MemberStatus.Alive;
-    const isOlder = record.number < this.#number ||
+    const isIgnorable = record.number < this.#number ||
       (record.number === this.#number && !isIncorrect);
-    if (isOlder) return;
+    if (isIgnorable) return;
     this.#number = record.number + 1;
     this.#options.emit({ kind: "count", counter: "members", tag: "refuted" });
     this.#disseminator.addMember(this.describeSelf(), now);
--- a/src/core/membership/platform_reader_election.ts
+++ b/src/core/membership/platform_reader_election.ts
@@ -107,7 +107,7 @@
     );
     if (isReaderConfirmed) this.#readerConfirmedAt = now;
     if (isLeaving) return false;
-    if (this.#isChosen(peers, now)) return true;
+    if (this.#isElected(peers, now)) return true;
     if (isReaderConfirmed) return false;
     return now - this.#readerConfirmedAt >=
       this.#computeFallbackDelayMs(input.daemonCount);
@@ -118,7 +118,7 @@
    * failed to read. When all of the first `MAX_FAILED_READERS` have failed, the
    * platform is considered down, and the first candidates keep trying.
    */
-  #isChosen(peers: readonly ReaderCandidate[], now: Milliseconds): boolean {
+  #isElected(peers: readonly ReaderCandidate[], now: Milliseconds): boolean {
     const hasFailed = now - this.#failedAt < FAILED_READER_BACKOFF_MS;
     const self = {
       id: this.#selfId,
--- a/src/core/membership/pool_index.ts
+++ b/src/core/membership/pool_index.ts
@@ -9,7 +9,10 @@
 export class PoolIndex {
   readonly #hosts = new Map<string, HostStructure[]>();
   /** Cached upstreams of the pools that were looked up, by pool row. */
-  readonly #pools = new WeakMap<PoolStructure, readonly HostStructure[]>();
+  readonly #poolUpstreams = new WeakMap<
+    PoolStructure,
+    readonly HostStructure[]
+  >();
 
   constructor(upstreamHosts: Iterable<HostStructure>) {
     for (const host of upstreamHosts) {
@@ -22,12 +25,12 @@
 
   /** Returns the upstreams of the pool in all failure domains that it names. */
   getPoolUpstreams(pool: PoolStructure): readonly HostStructure[] {
-    const known = this.#pools.get(pool);
+    const known = this.#poolUpstreams.get(pool);
     if (known) return known;
     const upstreams = [...new Set(pool.failureDomains)].flatMap((
       failureDomain,
     ) => this.getUpstreams(pool.service, failureDomain));
-    this.#pools.set(pool, upstreams);
+    this.#poolUpstreams.set(pool, upstreams);
     return upstreams;
   }
 
--- a/src/core/membership/state_exchange.ts
+++ b/src/core/membership/state_exchange.ts
@@ -42,7 +42,7 @@
 }
 
 /** Content of a reply beside the states. */
-export interface JoinContent {
+export interface TransferContent {
   strikes: StrikeDigest[];
   revisions: KnownRevisions;
 }
@@ -97,21 +97,21 @@
 
   /** Fetches the states whose updates have been missing for some time. */
   tick(now: Milliseconds): void {
-    const wanted = new Map<string, string[]>();
+    const memberIdsBySource = new Map<string, string[]>();
     for (const member of this.#options.membership.members.getAll()) {
-      const { pendingSync: behind } = member;
-      if (!behind || now - behind.since < FETCH_DELAY_MS) continue;
+      const { pendingSync } = member;
+      if (!pendingSync || now - pendingSync.since < FETCH_DELAY_MS) continue;
       if (member.appliedVersion >= member.version) {
         member.pendingSync = undefined;
         continue;
       }
-      behind.since = now + FETCH_RETRY_MS;
-      const ids = wanted.get(behind.source) ?? [];
+      pendingSync.since = now + FETCH_RETRY_MS;
+      const ids = memberIdsBySource.get(pendingSync.source) ?? [];
       ids.push(member.id);
-      wanted.set(behind.source, ids);
-      behind.source = member.id;
+      memberIdsBySource.set(pendingSync.source, ids);
+      pendingSync.source = member.id;
     }
-    for (const [to, memberIds] of wanted) {
+    for (const [to, memberIds] of memberIdsBySource) {
       this.#options.emit({
         kind: "send",
         to,
@@ -124,7 +124,7 @@
   handleRequest(
     from: string,
     request: StateRequestMessage,
-    content: JoinContent,
+    content: TransferContent,
   ): void {
     const isJoin = request.memberIds.length === 0;
     const members = this.#listMembers(request);
@@ -153,14 +153,16 @@
     request: StateRequestMessage,
   ): { record: MemberRecord; state: StateUpdate }[] {
     const { membership, publisher, selfId, describeSelf } = this.#options;
-    const wanted = new Set(request.memberIds);
+    const requestedIds = new Set(request.memberIds);
     const listed = [...membership.members.getAll()]
-      .filter((member) => wanted.size === 0 || wanted.has(member.id))
+      .filter((member) =>
+        requestedIds.size === 0 || requestedIds.has(member.id)
+      )
       .map((member) => ({
         record: describeMember(member),
         state: this.#describeState(member),
       }));
-    if (wanted.size === 0 || wanted.has(selfId)) {
+    if (requestedIds.size === 0 || requestedIds.has(selfId)) {
       listed.push({ record: describeSelf(), state: publisher.describeFull() });
     }
     return listed;
--- a/src/core/membership/state_publisher.ts
+++ b/src/core/membership/state_publisher.ts
@@ -197,11 +197,11 @@
   }
 
   #listCurrent(): Map<string, PublishedDigest> {
-    const wanted = new Map(this.#remote);
+    const current = new Map(this.#remote);
     for (const [id, digest] of this.#own) {
-      wanted.set(id, { ownerId: this.#selfId, digest });
+      current.set(id, { ownerId: this.#selfId, digest });
     }
-    return wanted;
+    return current;
   }
 
   #isChanged(entry: PublishedDigest): boolean {
--- a/test/core/membership/large_fleet_test.ts
+++ b/test/core/membership/large_fleet_test.ts
@@ -20,10 +20,10 @@
   pools: 1,
   routes: 10,
 };
-const DOMAINS_RUN = 2;
-const DAEMONS_RUN = DOMAINS_RUN * SIZES.daemonsPerDomain;
+const SIMULATED_DOMAINS = 2;
+const SIMULATED_DAEMONS = SIMULATED_DOMAINS * SIZES.daemonsPerDomain;
 /** Share of the calls per second that the configuration service can serve. */
-const MAX_CALLS_PER_SECOND = 2_000 * DOMAINS_RUN / SIZES.domains;
+const MAX_CALLS_PER_SECOND = 2_000 * SIMULATED_DOMAINS / SIZES.domains;
 
 function getPeakCallsPerSecond(fleet: ControlFleet): number {
   return Math.max(0, ...fleet.callsBySecond.values());
@@ -46,7 +46,7 @@
 
 test("daemons that start at once all serve and stay within the call limit", () => {
   fleet.run(8_000);
-  assert.is(countServing(fleet), DAEMONS_RUN);
+  assert.is(countServing(fleet), SIMULATED_DAEMONS);
   const peak = getPeakCallsPerSecond(fleet);
   assert.ok(peak <= MAX_CALLS_PER_SECOND, `${peak} calls in a second`);
 });
@@ -60,7 +60,7 @@
   const peak = getPeakCallsPerSecond(fleet);
   assert.ok(peak <= MAX_CALLS_PER_SECOND, `${peak} calls in a second`);
   const readers = fleet.listNodes().filter((node) => node.isReading).length;
-  assert.is(readers, DOMAINS_RUN * 2);
+  assert.is(readers, SIMULATED_DOMAINS * 2);
 });
 
 test("daemons stay within the call limit while the platform is down and when it comes back", () => {
--- a/test/core/membership/membership_fleet_test.ts
+++ b/test/core/membership/membership_fleet_test.ts
@@ -92,11 +92,11 @@
       const fleet = startFleet(sizes);
       fleet.run(offset * 60);
       fleet.getNode("entry-0-0").isAlive = false;
-      const foundMs = fleet.runUntil(
+      const detectedMs = fleet.runUntil(
         () => !listLive(fleet, "entry-0-1").includes("entry-0-0"),
         10_000,
       );
-      assert.ok(foundMs <= 2_200, `detected after ${foundMs} ms`);
+      assert.ok(detectedMs <= 2_200, `detected after ${detectedMs} ms`);
       fleet.run(500);
       const owners = countOwners(fleet);
       const all = sizes.domains * sizes.upstreamsPerDomain;
@@ -121,14 +121,14 @@
   paused.isPaused = false;
   fleet.run(20);
   assert.is(paused.core.describe(fleet.now).upstreams.length, 0);
-  const backMs = fleet.runUntil(
+  const rejoinedMs = fleet.runUntil(
     () =>
       fleet.listNodes().every((node) =>
         listLive(fleet, node.host.id).length === 8
       ),
     10_000,
   );
-  assert.ok(backMs <= 3_000, `rejoined after ${backMs} ms`);
+  assert.ok(rejoinedMs <= 3_000, `rejoined after ${rejoinedMs} ms`);
   fleet.run(2_000);
   assert.ok([...countOwners(fleet).values()].every((count) => count === 1));
 });
@@ -330,8 +330,8 @@
 test("a ticket claim reaches an issuer in another failure domain and is refused if the issuer is dead", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   const node = fleet.getNode("entry-0-0");
-  const homes = node.core.describe(fleet.now).peers;
-  const remote = homes.find((peer) => peer.id === "entry-3-1");
+  const peers = node.core.describe(fleet.now).peers;
+  const remote = peers.find((peer) => peer.id === "entry-3-1");
   assert.ok(remote);
   const routes = fleet.tables!.routes.map((route) => ({
     ...route,
@@ -340,28 +340,28 @@
   }));
   fleet.tables = { ...fleet.tables!, revision: 3, routes };
   fleet.run(2_000);
-  const minted: string[] = [];
+  const tickets: string[] = [];
   const request = {
     kind: "requestArrived",
     customer: "derwent",
     route: "route-0",
     fingerprint: "f",
   } as const;
-  const home = fleet.getNode("entry-3-1");
+  const issuer = fleet.getNode("entry-3-1");
   for (
-    const effect of home.core.handle(
+    const effect of issuer.core.handle(
       { ...request, requestId: "r1" },
       fleet.now,
     )
   ) {
-    if (effect.kind === "refuse" && effect.ticket) minted.push(effect.ticket);
+    if (effect.kind === "refuse" && effect.ticket) tickets.push(effect.ticket);
   }
-  assert.is(minted.length, 1);
-  fleet.handle(node, { ...request, requestId: "r2", ticket: minted[0]! });
+  assert.is(tickets.length, 1);
+  fleet.handle(node, { ...request, requestId: "r2", ticket: tickets[0]! });
   fleet.run(300);
   assert.is(node.core.describe(fleet.now).execution.requests, 1);
-  home.isAlive = false;
-  fleet.handle(node, { ...request, requestId: "r3", ticket: minted[0]! });
+  issuer.isAlive = false;
+  fleet.handle(node, { ...request, requestId: "r3", ticket: tickets[0]! });
   fleet.run(4_000);
   assert.ok(node.refusals.includes("ticketHomeUnreachable"));
 });
