--- a/src/core/membership/state_exchange.ts
+++ b/src/core/membership/state_exchange.ts
@@ -1,4 +1,7 @@
-/** Applies what members publish, in order, and fetches what was missed from whoever has it. */
+/**
+ * Applies the published state of members in the order of its versions, and
+ * fetches missed updates from a daemon that has them.
+ */
 import type { Effect } from "../effects.ts";
 import {
   type KnownRevisions,
@@ -16,10 +19,16 @@
 import type { Membership } from "./membership.ts";
 import type { StatePublisher } from "./state_publisher.ts";
 
-/** Time for which an update may still be on its way before it is fetched, and between fetches. */
+/**
+ * Time for which a missing update may still arrive before it is fetched, and
+ * additional time before the fetch is repeated.
+ */
 const FETCH_DELAY_MS = 100;
 const FETCH_RETRY_MS = 500;
-/** Size of the states of one message, about; further ones go in another. */
+/**
+ * Approximate size of the states in one message; further ones go into the next
+ * message.
+ */
 const TRANSFER_BYTES = 262_144;
 
 export interface StateExchangeOptions {
@@ -28,12 +37,12 @@
   publisher: StatePublisher;
   describeSelf: () => MemberRecord;
   emit: (effect: Effect) => void;
-  /** Takes the evictions that an update tells of. */
+  /** Handles the evictions in an update. */
   handleEvictions: (update: StateUpdate, now: Milliseconds) => void;
 }
 
-/** Sent beside the states to a daemon that joins. */
-export interface JoinContent {
+/** Content of a reply beside the states. */
+export interface TransferContent {
   strikes: StrikeDigest[];
   revisions: KnownRevisions;
 }
@@ -45,7 +54,10 @@
     this.#options = options;
   }
 
-  /** Applies an update that leads on from what is held; notes a gap. */
+  /**
+   * Applies an update that follows the applied version, or a full one; records
+   * a gap otherwise.
+   */
   applyState(from: string, update: StateUpdate, now: Milliseconds): void {
     const { membership } = this.#options;
     const member = membership.members.get(update.publisherId);
@@ -69,7 +81,7 @@
     if (member.appliedVersion >= member.version) member.pendingSync = undefined;
   }
 
-  /** Applies load that belongs to the version held. */
+  /** Applies a load update that belongs to the applied version. */
   applyLoad(update: LoadUpdate, now: Milliseconds): void {
     const { membership } = this.#options;
     const member = membership.members.get(update.publisherId);
@@ -83,23 +95,23 @@
     membership.views.applyLoad(update, now);
   }
 
-  /** Fetches the states that have been behind for some time. */
+  /** Fetches the states whose updates have been missing for some time. */
   tick(now: Milliseconds): void {
-    const wanted = new Map<string, string[]>();
+    const memberIdsBySource = new Map<string, string[]>();
     for (const member of this.#options.membership.members.getAll()) {
-      const { pendingSync: behind } = member;
-      if (!behind || now - behind.since < FETCH_DELAY_MS) continue;
+      const { pendingSync } = member;
+      if (!pendingSync || now - pendingSync.since < FETCH_DELAY_MS) continue;
       if (member.appliedVersion >= member.version) {
         member.pendingSync = undefined;
         continue;
       }
-      behind.since = now + FETCH_RETRY_MS;
-      const ids = wanted.get(behind.source) ?? [];
+      pendingSync.since = now + FETCH_RETRY_MS;
+      const ids = memberIdsBySource.get(pendingSync.source) ?? [];
       ids.push(member.id);
-      wanted.set(behind.source, ids);
-      behind.source = member.id;
+      memberIdsBySource.set(pendingSync.source, ids);
+      pendingSync.source = member.id;
     }
-    for (const [to, memberIds] of wanted) {
+    for (const [to, memberIds] of memberIdsBySource) {
       this.#options.emit({
         kind: "send",
         to,
@@ -108,11 +120,11 @@
     }
   }
 
-  /** Sends the states asked for, in messages of bounded size. */
+  /** Sends the requested states, in messages of bounded size. */
   handleRequest(
     from: string,
     request: StateRequestMessage,
-    content: JoinContent,
+    content: TransferContent,
   ): void {
     const isJoin = request.memberIds.length === 0;
     const members = this.#listMembers(request);
@@ -141,14 +153,16 @@
     request: StateRequestMessage,
   ): { record: MemberRecord; state: StateUpdate }[] {
     const { membership, publisher, selfId, describeSelf } = this.#options;
-    const wanted = new Set(request.memberIds);
+    const requestedIds = new Set(request.memberIds);
     const listed = [...membership.members.getAll()]
-      .filter((member) => wanted.size === 0 || wanted.has(member.id))
+      .filter((member) =>
+        requestedIds.size === 0 || requestedIds.has(member.id)
+      )
       .map((member) => ({
         record: describeMember(member),
         state: this.#describeState(member),
       }));
-    if (wanted.size === 0 || wanted.has(selfId)) {
+    if (requestedIds.size === 0 || requestedIds.has(selfId)) {
       listed.push({ record: describeSelf(), state: publisher.describeFull() });
     }
     return listed;
