--- a/src/daemon/attempt_end.ts
+++ b/src/daemon/attempt_end.ts
@@ -1,17 +1,17 @@
-/** How attempts end, read from what upstreams answer. */
+/** Classifies how attempts end from the responses of upstreams. */
 import { Buffer } from "node:buffer";
 import type { Dispatcher } from "undici";
 import type { StoredAnswerStructure } from "../core/messages.ts";
 import { type AttemptResult, Outcome } from "../core/outcomes.ts";
 
-/** Largest answer body kept for a ticket. */
+/** Largest response body that is stored for a ticket. */
 const MAX_STORED_BODY_BYTES = 65_536;
-/** Characters kept of an error answer. */
+/** Length to which the body of an error response is truncated. */
 const MAX_DETAIL_LENGTH = 200;
-/** Statuses with which an upstream says that it did not start a request. */
+/** Statuses by which an upstream reports that it did not start the request. */
 const NOT_STARTED_STATUSES = new Set([404, 409, 429, 503]);
 
-/** The end of an attempt, with the answer to keep for its ticket. */
+/** The result of an attempt, with the response to store for its ticket. */
 export interface AttemptEnd {
   result: AttemptResult;
   answer?: StoredAnswerStructure;
@@ -70,7 +70,7 @@
   }
 }
 
-/** Returns the beginning of an error's body. */
+/** Returns the beginning of the body of an error response and discards the rest. */
 export async function readErrorDetail(
   response: Dispatcher.ResponseData,
 ): Promise<string> {
@@ -83,13 +83,13 @@
     : first.value.toString("utf8").slice(0, MAX_DETAIL_LENGTH);
 }
 
-/** Ends an answer of which no more is wanted; its error would otherwise be unhandled. */
+/** Discards the rest of a response. The listener handles the error that this may raise. */
 export function dropBody(response: Dispatcher.ResponseData): void {
   response.body.on("error", () => {});
   response.body.destroy();
 }
 
-/** Reads an answer in one piece, up to a number of bytes. */
+/** Reads a whole response body; throws if it is longer than `maxBytes`. */
 export async function readBody(
   response: Dispatcher.ResponseData,
   maxBytes: number,
@@ -100,7 +100,7 @@
     length += chunk.length;
     if (length > maxBytes) {
       throw new Error(
-        `Expected an answer of at most ${maxBytes} bytes, found more`,
+        `Expected a response of at most ${maxBytes} bytes, found more`,
       );
     }
     chunks.push(chunk);
--- a/src/daemon/bus.ts
+++ b/src/daemon/bus.ts
@@ -1,4 +1,4 @@
-/** The bus over which the tasks of a daemon exchange events and effects. */
+/** The event bus between the core of a daemon and its tasks. */
 import Emittery from "emittery";
 import type { Effect } from "../core/effects.ts";
 import type { CoreEvent } from "../core/events.ts";
@@ -7,7 +7,7 @@
   [Kind in Effect["kind"]]: Extract<Effect, { kind: Kind }>;
 };
 
-/** Channels of the bus: events for the core, and each kind of effect for the task that carries it out. */
+/** Channels of the bus: one for events to the core, and one for each kind of effect, on which the task that executes it listens. */
 export interface BusChannels extends EffectChannels {
   event: CoreEvent;
 }
--- a/src/daemon/caller_exchange.ts
+++ b/src/daemon/caller_exchange.ts
@@ -1,4 +1,4 @@
-/** The answer to one caller: its head, its body as the caller takes it, and its end. */
+/** The HTTP response to one caller: headers, body with backpressure, and end. */
 import { Buffer } from "node:buffer";
 import type { Response } from "express";
 import type { StoredAnswerStructure } from "../core/messages.ts";
@@ -13,14 +13,14 @@
 export interface CallerExchangeOptions {
   response: Response;
   isStreamed: boolean;
-  /** Time without progress after which a caller that takes nothing is cut off. */
+  /** The connection is closed when the caller has read nothing for this long. */
   stallTimeoutMs: number;
   reportBegin: () => void;
 }
 
 export class CallerExchange implements ResponseSink {
   readonly #options: CallerExchangeOptions;
-  /** Body held back until the answer is known to be whole; undefined for streams. */
+  /** Body, buffered until the response is known to be complete; undefined for streams. */
   readonly #bufferedChunks: Uint8Array[] | undefined;
   #head: ResponseHead | undefined;
 
@@ -41,7 +41,7 @@
     return true;
   }
 
-  /** Waits until a slow caller has taken what was written, or is gone. */
+  /** Waits until the write buffer has drained or the connection is closed. */
   async waitUntilDrained(): Promise<void> {
     const { response, stallTimeoutMs } = this.#options;
     const { socket } = response;
@@ -61,7 +61,7 @@
     });
   }
 
-  /** Ends the answer, which is whole. */
+  /** Ends a response that is complete. */
   complete(): void {
     const { response } = this.#options;
     if (!this.#head) return;
@@ -74,7 +74,7 @@
     response.end(Buffer.concat(this.#bufferedChunks));
   }
 
-  /** Sends an answer that was kept from an earlier call. */
+  /** Sends the response stored from an earlier call with the same ticket. */
   replay(answer: StoredAnswerStructure): void {
     const { response } = this.#options;
     this.#setStallTimeout();
@@ -84,7 +84,11 @@
     response.end(Buffer.from(answer.body));
   }
 
-  /** Refuses the request; an answer that has begun is broken off and never ended as if whole. */
+  /**
+   * Sends a refusal. If headers have been sent, it is sent as an error event, and
+   * the connection is closed without the last chunk, so that the caller can't take
+   * the response for complete.
+   */
   refuse(refusal: RefusalStructure): void {
     const { response } = this.#options;
     this.#setStallTimeout();
--- a/src/daemon/caller_task.ts
+++ b/src/daemon/caller_task.ts
@@ -1,4 +1,4 @@
-/** The task that owns the callers' port: accepts requests, forwards answers and gives refusals. */
+/** The task that owns the callers' port: accepts requests and sends responses and refusals. */
 import { Buffer } from "node:buffer";
 import { createHash, randomUUID, timingSafeEqual } from "node:crypto";
 import type { Server } from "node:http";
@@ -19,7 +19,7 @@
 import { type RefusalStructure, sendRefusal } from "./refusal_response.ts";
 import { describeError } from "./step_error.ts";
 
-/** When to come back to a daemon that has no tables yet. */
+/** Time until a retry that is advised while the daemon has no tables yet. */
 const NOT_READY_RETRY_MS = 1_000;
 const FINGERPRINT_LENGTH = 22;
 
@@ -39,7 +39,7 @@
   isStreamed: boolean;
 }
 
-/** What the authentication leaves on a response for the handlers after it. */
+/** Response locals that authentication sets for the handlers after it. */
 interface CallerLocals {
   customer: string;
 }
@@ -74,7 +74,7 @@
     });
   }
 
-  /** Binds the callers' port; returns the port. */
+  /** Listens on the callers' port; returns its number. */
   async start(): Promise<number> {
     return await listen(this.#server, this.#options.settings.listen);
   }
@@ -118,7 +118,7 @@
     return app;
   }
 
-  /** Establishes the customer before any of the body is read. */
+  /** Authenticates the customer before any of the body is read. */
   readonly #authenticate = (
     request: Request,
     response: CallerResponse,
@@ -212,7 +212,7 @@
     });
   }
 
-  /** Returns whether the route leads to upstreams that this path does not serve. */
+  /** Returns whether the route's pool is of another kind than the path serves: engines or plain services. */
   #isWrongPoolKind(call: ParsedCall, customer: string): boolean {
     const tables = this.#options.getTables();
     const route = tables?.getRoute(call.route, customer);
@@ -246,14 +246,14 @@
     return exchange;
   }
 
-  /** Refuses a request that never reached the core, and counts it. */
+  /** Refuses and counts a request that is not passed to the core. */
   #refuse(response: Response, refusal: RefusalStructure): void {
     this.#options.metrics.count("refused", refusal.reason);
     sendRefusal(response, refusal);
   }
 }
 
-/** Returns the customer whose token the request bears, compared in constant time. */
+/** Returns the customer of the bearer token; digests are compared in constant time. */
 function findCustomer(
   request: Request,
   tables: TableSnapshot,
--- a/src/daemon/chunk_writer.ts
+++ b/src/daemon/chunk_writer.ts
@@ -1,7 +1,7 @@
 /**
- * Writes chunks of an answer in the chunked transfer coding of HTTP/1.1 (RFC
- * 9112, 7.1) in one buffer each. The response itself would hand the socket three
- * for each chunk, which costs about as much as all else that a relay does.
+ * Writes each chunk of a response in the chunked transfer coding of HTTP/1.1 (RFC
+ * 9112, section 7.1) as one buffer. `ServerResponse.write` passes three buffers to
+ * the socket, which costs about as much as everything else a proxy does per chunk.
  */
 import { Buffer } from "node:buffer";
 import type { ServerResponse } from "node:http";
@@ -11,7 +11,10 @@
 const LINE_END_BYTES = 2;
 const HEXADECIMAL = 16;
 
-/** Writes the chunk of a response whose head has left; returns whether more can be taken at once. */
+/**
+ * Writes a chunk of a response body; returns false when the writer should wait for
+ * `drain`. Until the headers have been sent, the response frames the chunk itself.
+ */
 export function writeChunk(
   response: ServerResponse,
   chunk: Uint8Array,
@@ -23,7 +26,7 @@
   return canFrame ? socket.write(formatChunk(chunk)) : response.write(chunk);
 }
 
-/** Returns whether the response waits for its reader. */
+/** Returns whether the write buffer of the response or of its socket is full. */
 export function needsDrain(response: ServerResponse): boolean {
   if (response.destroyed) return false;
   return response.writableNeedDrain ||
--- a/src/daemon/connection_errors.ts
+++ b/src/daemon/connection_errors.ts
@@ -1,4 +1,7 @@
-/** Counts and closes callers' connections that the HTTP library turns away before a request is whole. */
+/**
+ * Counts callers' connections that Node's HTTP server drops or fails to parse; the
+ * latter are closed, after an error status where that can be sent.
+ */
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import type { Duplex } from "node:stream";
 import type { Metrics } from "./metrics.ts";
@@ -8,7 +11,7 @@
   response: ServerResponse;
 }
 
-/** Installs the guard on a server. */
+/** Registers the listeners for the server's connection errors. */
 export function handleConnectionErrors(server: Server, metrics: Metrics): void {
   const pendingRequests = new WeakMap<Duplex, PendingRequest>();
   server.on("request", (request, response) => {
@@ -27,7 +30,10 @@
   });
 }
 
-/** Returns whether the request is not whole and its answer has not begun, so that a status line enters no answer. */
+/**
+ * Returns whether the request is incomplete and its response has not started.
+ * Otherwise an error status would be written into another response.
+ */
 function isAwaitingRequest({ request, response }: PendingRequest): boolean {
   return !request.complete && !response.headersSent;
 }
--- a/src/daemon/core_task.ts
+++ b/src/daemon/core_task.ts
@@ -1,4 +1,4 @@
-/** The task that owns the core: feeds it events one at a time and publishes its effects. */
+/** The task that owns the core: passes it events one at a time and publishes its effects. */
 import { performance } from "node:perf_hooks";
 import { DaemonCore, type DaemonCoreOptions } from "../core/daemon_core.ts";
 import type { Effect } from "../core/effects.ts";
@@ -50,7 +50,7 @@
   #publish<Kind extends Effect["kind"]>(
     effect: Extract<Effect, { kind: Kind }>,
   ): void {
-    // The channel of each effect carries exactly that effect.
+    // Each channel carries only effects of its own kind.
     this.#bus.emit(effect.kind, effect as never).catch((error: unknown) => {
       this.#logger.error("Effect could not be carried out", {
         step: effect.kind,
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -38,7 +38,7 @@
   readonly #platform: PlatformTask;
   readonly #operators: OperatorTask;
   #gaugeTimer: NodeJS.Timeout | undefined;
-  /** State and revisions as last logged. */
+  /** State and revisions that were last logged. */
   #lastReported = "";
 
   constructor(settings: DaemonSettings) {
@@ -117,7 +117,10 @@
     return ports;
   }
 
-  /** Finishes the requests in progress, hands over what is owned, and closes; bounded by the settings. */
+  /**
+   * Waits until requests in progress have finished and owned upstreams are handed
+   * over, at most for `stopTimeoutMs`; then stops the tasks.
+   */
   async stop(): Promise<void> {
     this.#logger.info("Daemon stops", { step: "stop" });
     const drained = this.#bus.once("stopCompleted");
@@ -143,7 +146,7 @@
     this.#logger.info("Daemon stopped", { step: "stop", isDrained });
   }
 
-  /** Logs an error that no task has handled; the daemon goes on. */
+  /** Logs an unhandled error; the daemon keeps running. */
   reportError(error: unknown): void {
     this.#logger.error("Error was not handled", {
       step: "unknown",
@@ -158,7 +161,7 @@
     this.#platform.setBlocked(partition.platform);
   }
 
-  /** Logs a change of the daemon's state or of the revisions in force. */
+  /** Logs changes of the daemon's state and of the active revisions. */
   #reportChanges(description: DaemonDescription): void {
     const { state, tablesRevision, hostListRevision } = description;
     const current = JSON.stringify({ state, tablesRevision, hostListRevision });
--- a/src/daemon/exchange.ts
+++ b/src/daemon/exchange.ts
@@ -1,7 +1,7 @@
-/** Exchanges with callers, as the upstream task sees them: a request to forward and a sink for the answer. */
+/** Exchanges with callers as the upstream task sees them: a request to forward and a sink for its response. */
 import type { Buffer } from "node:buffer";
 
-/** The head of an answer, before any byte of its body. */
+/** What is known of a response before its body; sent as status and headers. */
 export interface ResponseHead {
   status: number;
   contentType: string;
@@ -9,24 +9,24 @@
   tablesRevision: number;
 }
 
-/** Takes the bytes of one answer. */
+/** Receives one response for a caller. */
 export interface ResponseSink {
-  /** Starts the answer; called once, before the first chunk. */
+  /** Starts the response; called once, before the first chunk. */
   begin(head: ResponseHead): void;
-  /** Forwards a chunk; returns whether the caller can take more at once. */
+  /** Writes a chunk; returns false when the writer should wait for `waitUntilDrained`. */
   write(chunk: Uint8Array): boolean;
-  /** Resolves when a slow reader has caught up, or is gone. */
+  /** Resolves when the write buffer has drained or the connection is closed. */
   waitUntilDrained(): Promise<void>;
 }
 
-/** A caller's request, ready to be forwarded. */
+/** A caller's request and the sink for its response. */
 export interface Exchange {
   requestId: string;
   /** Path on an engine, for example `/v1/chat/completions`. */
   path: string;
   /** Body as received, for plain services. */
   rawBody: Buffer;
-  /** Parsed body, for engines, whose `model` is replaced. */
+  /** Parsed body, for engines; its `model` is replaced by the served adapter version. */
   jsonBody: Record<string, unknown> | undefined;
   contentType: string;
   isStreamed: boolean;
--- a/src/daemon/http_server.ts
+++ b/src/daemon/http_server.ts
@@ -5,9 +5,9 @@
 
 const DEFAULT_TIMEOUT_MS = 60_000;
 const KEEP_ALIVE_TIMEOUT_MS = 5_000;
-/** Time between checks of the timeouts of headers and bodies. */
+/** Interval at which the timeouts of headers and bodies are checked. */
 const TIMEOUT_CHECK_INTERVAL_MS = 500;
-/** Time that connections have to end by themselves when a server closes. */
+/** Time after which `close` destroys connections that are still active. */
 const CLOSE_TIMEOUT_MS = 500;
 
 /** Splits `IP:port`, with the IP in brackets for IPv6. */
@@ -41,7 +41,7 @@
   return server;
 }
 
-/** Listens and returns the port, which the system chooses for port 0. */
+/** Listens and returns the port number, which the system assigns for port 0. */
 export async function listen(server: Server, address: string): Promise<number> {
   const { host, port } = parseAddress(address);
   await new Promise<void>((resolve, reject) => {
@@ -63,7 +63,7 @@
   return (server.address() as AddressInfo).port;
 }
 
-/** Stops accepting connections and closes those that are idle; the rest are cut after a short time. */
+/** Stops accepting connections and closes idle ones; active ones are destroyed after `CLOSE_TIMEOUT_MS`. */
 export async function close(server: Server): Promise<void> {
   await new Promise<void>((resolve) => {
     const timer = setTimeout(
--- a/src/daemon/json_body.ts
+++ b/src/daemon/json_body.ts
@@ -1,10 +1,10 @@
-/** Reads the body of a call to an engine: one JSON object that can be sent on. */
+/** Parses the body of a request to an engine: one JSON object that can be forwarded. */
 import { Buffer } from "node:buffer";
 
-/** Deepest nesting; the serializer of the forwarded body is recursive. */
+/** Deepest nesting accepted: `JSON.stringify`, which serializes the forwarded body, is recursive. */
 const MAX_DEPTH = 128;
 
-/** Returns the object, or undefined for anything else. */
+/** Returns the object, or undefined if the body is not a valid JSON object. */
 export function parseJsonObject(
   body: unknown,
 ): Record<string, unknown> | undefined {
--- a/src/daemon/logger.ts
+++ b/src/daemon/logger.ts
@@ -1,9 +1,9 @@
-/** JSON-lines logs over loglevel: one object a line on standard output. */
+/** Logs JSON lines (one object per line) to standard output by way of loglevel. */
 import process from "node:process";
 import loglevel from "loglevel";
 import { LOG_LEVELS, type LogLevel } from "../settings/log_level.ts";
 
-/** Fields of a log line; errors name the step and the peer at which they arose. */
+/** Fields of a log line; errors name the step that failed and the peer involved. */
 export interface LogFields {
   step?: string;
   peer?: string;
@@ -19,7 +19,7 @@
   getLevel(): string;
 }
 
-/** Creates the logger of one daemon. */
+/** Creates the logger of one daemon; `host` is its id. */
 export function createLogger(host: string, level: LogLevel): Logger {
   const log = loglevel.getLogger(host);
   log.methodFactory = (methodName) => (message: string, fields?: LogFields) => {
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon's program: reads and checks its settings, starts, and stops on SIGTERM or SIGINT. */
+/** Entry point of the daemon: validates the settings, starts, and stops on SIGTERM or SIGINT. */
 import { readFileSync } from "node:fs";
 import process from "node:process";
 import sade from "sade";
--- a/src/daemon/metrics.ts
+++ b/src/daemon/metrics.ts
@@ -1,13 +1,13 @@
-/** Counters, gauges and histograms: sent by hot-shots where an address is set, and kept for the operators' port. */
+/** Counters, gauges and histograms: kept for the operators' port and, if an address is set, sent to a StatsD server. */
 import hdr from "hdr-histogram-js";
 import { StatsD } from "hot-shots";
 import type { DaemonSettings } from "../settings/daemon_settings.ts";
 import type { Bus } from "./bus.ts";
 
-/** Longest time that the histograms tell apart. */
+/** Largest value of the histograms; longer times are recorded as this. */
 const MAX_TIME_MS = 3_600_000;
 
-/** What each metric counts or measures; the operators' page holds the same table. */
+/** What each metric counts or measures; docs/OPERATORS.md has the same table. */
 export const METRICS = {
   refused: "Requests refused, by reason",
   retried: "Requests sent to another upstream or owner, by reason",
--- a/src/daemon/operator_task.ts
+++ b/src/daemon/operator_task.ts
@@ -1,4 +1,4 @@
-/** The task that owns the operators' port: health, readiness, status and the log level. */
+/** The task that owns the operators' port: health, readiness, status, routes and the log level. */
 import type { Server } from "node:http";
 import { performance } from "node:perf_hooks";
 import express, { type Request, type Response } from "express";
@@ -10,7 +10,7 @@
 import type { Metrics } from "./metrics.ts";
 import { describeError } from "./step_error.ts";
 
-/** Peers, upstreams and the platform that a daemon refuses to talk to, for tests of partitions. */
+/** Peers, upstreams and platform with which the daemon stops communicating, to simulate a network partition in tests. */
 export interface NetworkPartition {
   peers: string[];
   upstreams: string[];
@@ -22,7 +22,7 @@
   core: DaemonCore;
   metrics: Metrics;
   logger: Logger;
-  /** Absent unless the settings allow cuts. */
+  /** Undefined unless the setting `allowCuts` is on. */
   applyPartition: ((partition: NetworkPartition) => void) | undefined;
 }
 
@@ -43,7 +43,7 @@
     this.#server = createHttpServer(this.#createApp());
   }
 
-  /** Binds the operators' port; returns the port. */
+  /** Listens on the operators' port; returns its number. */
   async start(): Promise<number> {
     return await listen(this.#server, this.#options.listenAddress);
   }
@@ -53,8 +53,7 @@
   }
 
   #createApp(): express.Express {
-    const { core, metrics, logger, applyPartition: applyPartition } =
-      this.#options;
+    const { core, metrics, logger, applyPartition } = this.#options;
     const app = express();
     app.disable("x-powered-by");
     app.use(express.json());
--- a/src/daemon/peer_channel.ts
+++ b/src/daemon/peer_channel.ts
@@ -1,4 +1,4 @@
-/** The way to one peer: a long-lived stream of envelopes, opened anew after it has broken. */
+/** The channel to one peer: a long-lived gRPC stream of envelopes, reopened after it fails. */
 import { Buffer } from "node:buffer";
 import type { Client, ClientWritableStream } from "@grpc/grpc-js";
 import type { PeerMessage } from "../core/messages.ts";
@@ -6,18 +6,18 @@
 
 export const CONNECT_PATH = "/pistachiohatch.peer.Peer/Connect";
 
-/** Messages of one envelope. */
+/** Most messages in one envelope. */
 const MAX_ENVELOPE_MESSAGES = 64;
-/** Messages that wait for one peer; more are dropped, as a cut network would. */
+/** Most messages queued for one peer; more are dropped, as a partitioned network would drop them. */
 const MAX_QUEUED_MESSAGES = 10_000;
 
 export interface PeerChannelOptions {
   selfId: string;
   address: string;
   client: Client;
-  /** Counts what was written. */
+  /** Called after each envelope written. */
   recordSent: (bytes: number, messages: number) => void;
-  /** Told when the stream breaks; what was under way may be lost. */
+  /** Called when the stream fails; messages in transit may be lost. */
   reportFailure: (error: Error) => void;
 }
 
@@ -36,7 +36,7 @@
     return this.#options.address;
   }
 
-  /** Sends the message, together with the others of this turn. */
+  /** Queues the message; messages of the same turn of the event loop are sent together. */
   post(message: PeerMessage): void {
     if (this.#queue.length >= MAX_QUEUED_MESSAGES) return;
     this.#queue.push(message);
@@ -58,7 +58,7 @@
     });
   }
 
-  /** Writes what waits, until the peer takes no more. */
+  /** Writes queued messages until the stream's buffer is full. */
   #flush(): void {
     while (this.#queue.length > 0 && !this.#isClosed) {
       const stream = this.#stream ?? this.#openStream();
@@ -78,7 +78,7 @@
       (error) => this.#handleEnd(stream, error),
     );
     stream.on("drain", () => this.#scheduleFlush());
-    // Its failure reaches the callback as well.
+    // The error is also passed to the callback above.
     stream.on("error", () => {});
     this.#stream = stream;
     return stream;
@@ -95,7 +95,7 @@
   }
 }
 
-/** Returns the bytes as the buffer that the transport asks for, without a copy. */
+/** Returns the bytes as a Buffer, which grpc-js requires, without copying them. */
 export function toBuffer(bytes: Uint8Array): Buffer {
   return Buffer.from(bytes.buffer, bytes.byteOffset, bytes.byteLength);
 }
--- a/src/daemon/peer_task.ts
+++ b/src/daemon/peer_task.ts
@@ -1,4 +1,4 @@
-/** The task that owns the peers' port: delivers envelopes over gRPC. */
+/** The task that owns the peers' port: exchanges envelopes with other daemons over gRPC. */
 import type { Buffer } from "node:buffer";
 import { readFileSync } from "node:fs";
 import { performance } from "node:perf_hooks";
@@ -28,7 +28,7 @@
 import { describeError, StepError } from "./step_error.ts";
 
 const MAX_MESSAGE_BYTES = 8 * 1_048_576;
-/** Silence of a peer after which the way to it is opened anew. */
+/** The channel to a peer is replaced when nothing was received from the peer for this long. */
 const RECONNECT_AFTER_SILENCE_MS = 5_000;
 const INITIAL_RECONNECT_BACKOFF_MS = 50;
 const MAX_RECONNECT_BACKOFF_MS = 300;
@@ -56,7 +56,7 @@
   },
 } satisfies ServiceDefinition;
 
-// The library writes lines of its own to standard error; failures are logged here.
+// grpc-js would write its own lines to standard error; failures are logged here instead.
 setLogVerbosity(logVerbosity.NONE);
 
 const PeerClient = makeGenericClientConstructor(PEER_SERVICE, "Peer");
@@ -79,7 +79,7 @@
     string,
     { channel: PeerChannel; openedAt: number }
   >();
-  /** When each peer was last heard, on the process's clock. */
+  /** When an envelope was last received from each peer, on the monotonic clock. */
   readonly #lastReceivedAt = new Map<string, number>();
   readonly #blocked = new Set<string>();
   #bytesSent = 0;
@@ -90,7 +90,7 @@
     options.bus.on("send", (data) => this.#post(data.to, data.message));
   }
 
-  /** Binds the peers' port; returns the port. */
+  /** Listens on the peers' port; returns its number. */
   async start(): Promise<number> {
     const { settings } = this.#options;
     this.#server.addService(PEER_SERVICE, {
@@ -131,7 +131,7 @@
     this.#channels.clear();
   }
 
-  /** Cuts the exchange with some peers, for tests of partitions. */
+  /** Stops communication with these peers, to simulate a network partition in tests. */
   setBlockedPeers(ids: readonly string[]): void {
     this.#blocked.clear();
     for (const id of ids) this.#blocked.add(id);
@@ -187,7 +187,7 @@
     void this.#options.bus.emit("count", { kind: "count", counter, tag: "" });
   }
 
-  /** Returns the way to the peer, a new one if its address has changed or it has long been silent. */
+  /** Returns the channel to the peer; replaces it if the address has changed or the peer has been silent too long. */
   #getChannel(peerId: string, address: string): PeerChannel {
     const now = performance.now();
     const existing = this.#channels.get(peerId);
--- a/src/daemon/platform_task.ts
+++ b/src/daemon/platform_task.ts
@@ -1,6 +1,6 @@
 /**
- * The task that reads the platform while the core wants it to: the tables from
- * the configuration service and the host list.
+ * The task that reads the platform while the core asks for it: watches the tables
+ * in the configuration service and polls the host list.
  */
 import { Agent, request } from "undici";
 import type { z } from "zod";
@@ -20,18 +20,18 @@
   keyValueSchema,
 } from "./upstream_schemas.ts";
 
-/** Longest wait of one watch. */
+/** Time for which one watch request waits for a newer revision. */
 const WATCH_TIMEOUT_MS = 10_000;
-/** Longest wait between tries to read a platform that does not answer. */
+/** Longest backoff between failed reads of the platform. */
 const MAX_RETRY_DELAY_MS = 10_000;
-/** Readings of the keys that may disagree in revision before the reading is given up. */
+/** Attempts to read all keys at the same revision before the read fails. */
 const MAX_INCONSISTENT_READS = 5;
 
 export interface PlatformTaskOptions {
   settings: DaemonSettings;
   bus: Bus;
   logger: Logger;
-  /** Returns the tables in force. */
+  /** Returns the active tables. */
   getTables: () => TableSnapshot | undefined;
 }
 
@@ -39,7 +39,7 @@
   readonly #options: PlatformTaskOptions;
   readonly #agent = new Agent();
   readonly #fileSet = new TableFileSet();
-  /** Ends what is being read; undefined while nothing is. */
+  /** Aborts the reads in progress; undefined before the first. */
   #abortController: AbortController | undefined;
   #isBlocked = false;
 
@@ -56,7 +56,7 @@
     await this.#agent.destroy();
   }
 
-  /** Cuts the way to the platform, for tests of partitions. */
+  /** Stops communication with the platform, to simulate a network partition in tests. */
   setBlocked(isBlocked: boolean): void {
     this.#isBlocked = isBlocked;
   }
@@ -90,7 +90,7 @@
     }
   }
 
-  /** Reads the tables and offers them to the core; returns their revision. */
+  /** Reads the tables and publishes them to the core if they are newer; returns their revision. */
   async #publishTables(signal: AbortSignal): Promise<number> {
     const { revision, files } = await this.#readFiles(signal);
     for (const file of files) {
@@ -144,7 +144,7 @@
     }
   }
 
-  /** Reads every key at one revision. */
+  /** Reads all keys at the same revision. */
   async #readFiles(
     signal: AbortSignal,
   ): Promise<{ revision: number; files: TableFile[] }> {
@@ -174,7 +174,7 @@
       return { revision, files };
     }
     throw new StepError(
-      `Expected all keys at one revision, found several in ${MAX_INCONSISTENT_READS} readings`,
+      `Expected all keys at one revision, found several in each of ${MAX_INCONSISTENT_READS} attempts`,
       { step: "readTables", peer: configuration },
     );
   }
@@ -194,7 +194,7 @@
     await this.#emit(signal, { kind: "platformReached" });
   }
 
-  /** Counts a revision that is not offered to the core. */
+  /** Counts a revision that is not published to the core. */
   #countTables(tag: "stale" | "invalid"): void {
     void this.#options.bus.emit("count", {
       kind: "count",
@@ -203,7 +203,7 @@
     });
   }
 
-  /** Waits for a newer revision for some time; returns the revision then. */
+  /** Waits for a newer revision, at most `WATCH_TIMEOUT_MS`; returns the revision after that. */
   async #awaitRevision(
     knownRevision: number,
     signal: AbortSignal,
@@ -218,7 +218,7 @@
     return revision;
   }
 
-  /** Tells the core, unless it wants nothing of the platform any more. */
+  /** Passes the event to the core, unless the reads have been aborted. */
   async #emit(signal: AbortSignal, event: CoreEvent): Promise<void> {
     if (!signal.aborted) await this.#options.bus.emit("event", event);
   }
@@ -231,7 +231,10 @@
     extraTimeoutMs = 0,
   ): Promise<z.infer<Schema>> {
     if (this.#isBlocked) {
-      throw new StepError("Cut off", { step: "readPlatform", peer: address });
+      throw new StepError("Blocked by a simulated partition", {
+        step: "readPlatform",
+        peer: address,
+      });
     }
     const timeoutMs = this.#options.settings.platform.timeoutMs +
       extraTimeoutMs;
--- a/src/daemon/refusal_response.ts
+++ b/src/daemon/refusal_response.ts
@@ -1,4 +1,4 @@
-/** Refusals as HTTP answers: status, JSON body and when to come back. */
+/** Refusals as HTTP responses: status, JSON body and `Retry-After`. */
 import type { Response } from "express";
 import { Outcome, type RefusalReason } from "../core/outcomes.ts";
 import { getRefusalStatus } from "./refusal_statuses.ts";
@@ -27,7 +27,7 @@
   };
 }
 
-/** Sends a refusal, unless an answer has begun or the caller is gone. */
+/** Sends a refusal, unless headers have been sent or the connection is closed. */
 export function sendRefusal(
   response: Response,
   refusal: RefusalStructure,
--- a/src/daemon/sse_inspector.ts
+++ b/src/daemon/sse_inspector.ts
@@ -1,7 +1,8 @@
 /**
- * Watches a server-sent event stream: which model its first event names, how
- * many events have come, and whether it came to its end. Only whole events are
- * let through, so that a stream that is cut can be resumed after the last one.
+ * Parses a stream of server-sent events as far as forwarding needs: the model that
+ * the first event names, the number of events, and the final `[DONE]`. It returns
+ * complete events only, so that a stream whose connection is lost can be resumed
+ * after the last one.
  */
 import { Buffer } from "node:buffer";
 
@@ -10,7 +11,7 @@
 const DONE_LINE = "data: [DONE]";
 const DONE_EVENT = Buffer.from(`${DONE_LINE}\n\n`);
 const NO_BYTES = Buffer.alloc(0);
-/** Longest event. */
+/** Longest event accepted. */
 const MAX_EVENT_BYTES = 1_048_576;
 
 export class SseInspector {
@@ -19,17 +20,17 @@
   #model: string | undefined;
   #eventCount = 0;
 
-  /** Model that the first event named; undefined until it is whole. */
+  /** Model named in the first event; undefined until that event is complete. */
   get model(): string | undefined {
     return this.#model;
   }
 
-  /** Whole events that have come. */
+  /** Number of complete events received. */
   get eventCount(): number {
     return this.#eventCount;
   }
 
-  /** Takes the next chunk and returns the events that are whole with it, if any. */
+  /** Adds a chunk and returns the events that it completes, or undefined if there are none. */
   push(chunk: Buffer): Buffer | undefined {
     const bytes = this.#incompleteEvent.length === 0
       ? chunk
@@ -51,7 +52,7 @@
     return events;
   }
 
-  /** Takes the end of the connection and returns an end mark that came without its blank line. */
+  /** Called at the end of the stream; returns a `[DONE]` event whose blank line was missing. */
   finish(): Buffer | undefined {
     if (this.#incompleteEvent.toString("utf8").trimEnd() !== DONE_LINE) {
       return undefined;
@@ -61,12 +62,12 @@
     return DONE_EVENT;
   }
 
-  /** Drops the part of an event that came before the connection was cut. */
+  /** Discards the partial event that was received before the connection was lost. */
   dropIncompleteEvent(): void {
     this.#incompleteEvent = NO_BYTES;
   }
 
-  /** Returns whether the last event was the end mark. */
+  /** Returns whether the last event was `[DONE]`. */
   isComplete(): boolean {
     return this.#lastEvents.subarray(-DONE_EVENT.length).equals(DONE_EVENT);
   }
--- a/src/daemon/step_error.ts
+++ b/src/daemon/step_error.ts
@@ -1,4 +1,4 @@
-/** Errors that carry the step and the peer at which they arose. */
+/** Errors that carry the step that failed and the peer involved. */
 
 export class StepError extends Error {
   readonly step: string;
@@ -15,14 +15,14 @@
   }
 }
 
-/** Returns the text of anything thrown. */
+/** Returns the message of any thrown value, with its error code if there is one. */
 export function describeError(error: unknown): string {
   if (!(error instanceof Error)) return String(error);
   const code = (error as { code?: unknown }).code;
   return typeof code === "string" ? `${code}: ${error.message}` : error.message;
 }
 
-/** Returns the text of anything thrown, after the step and the peer where it arose, if known. */
+/** Returns the message of any thrown value; that of a StepError follows its step and peer. */
 export function describeStep(error: unknown): string {
   const text = describeError(error);
   return error instanceof StepError
@@ -30,7 +30,7 @@
     : text;
 }
 
-/** Returns the system's or library's code of an error, or an empty text. */
+/** Returns the code of an error or of its cause, or an empty string. */
 export function getErrorCode(error: unknown): string {
   if (!(error instanceof Error)) return "";
   const code = (error as { code?: unknown }).code;
@@ -38,10 +38,10 @@
   return error.cause === undefined ? "" : getErrorCode(error.cause);
 }
 
-/** Codes of errors of a connection that was not made. */
+/** Error codes of connections that could not be established. */
 const CONNECT_CODES = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH"]);
 
-/** Returns whether the connection was not made, so that no byte of a request was sent. */
+/** Returns whether the connection could not be established, so that no byte of the request was sent. */
 export function isConnectError(error: unknown): boolean {
   const code = getErrorCode(error);
   if (code === "UND_ERR_CONNECT_TIMEOUT") return true;
--- a/src/daemon/stream_forwarder.ts
+++ b/src/daemon/stream_forwarder.ts
@@ -1,31 +1,31 @@
 /**
- * Forwards one streamed answer as it comes. A slow reader holds back its own
- * upstream connection and no other. A connection that is cut is followed by
- * another one to the same run, from the first event that has not come.
+ * Forwards one streamed response as it arrives. Backpressure from a slow caller
+ * pauses only its own upstream connection. When that connection is lost, the stream
+ * is resumed on a new connection to the same run, after the last event received.
  */
 import type { Buffer } from "node:buffer";
 import type { Readable } from "node:stream";
 import type { ResponseHead, ResponseSink } from "./exchange.ts";
 import { SseInspector } from "./sse_inspector.ts";
 
-/** How a streamed answer ended. */
+/** How a streamed response ended. */
 export type StreamEnd =
   | { kind: "completed" }
   /** The first event named another model; nothing was forwarded. */
-  | { kind: "crossed"; model: string }
-  /** Cut, or ended without its end mark, and not resumed. */
-  | { kind: "broken"; error: Error };
+  | { kind: "wrongModel"; model: string }
+  /** The connection was lost, or ended without `[DONE]`, and was not resumed. */
+  | { kind: "interrupted"; error: Error };
 
 export interface StreamForwarderOptions {
   sink: ResponseSink;
   head: ResponseHead;
   /** Called with the length of each chunk that is forwarded. */
   onForward: (bytes: number) => void;
-  /** Opens the rest of the stream after some events; returns undefined where that is not possible. */
+  /** Resumes the stream after the given number of events; returns undefined if that is not possible. */
   resume: (afterEvents: number) => Promise<Readable | undefined>;
 }
 
-/** Connections in a row that may bring no event before the stream is given up. */
+/** Consecutive connections without a new event after which the stream is abandoned. */
 const MAX_CONNECTIONS_WITHOUT_EVENT = 2;
 
 export class StreamForwarder {
@@ -37,12 +37,12 @@
     this.#options = options;
   }
 
-  /** Forwards the stream to its end, over as many connections as it takes. */
+  /** Forwards the stream to its end, resuming it on new connections as needed. */
   async forward(body: Readable): Promise<StreamEnd> {
     let end = await this.#forwardConnection(body);
     let connectionsWithoutEvent = 0;
     while (
-      end.kind === "broken" &&
+      end.kind === "interrupted" &&
       connectionsWithoutEvent < MAX_CONNECTIONS_WITHOUT_EVENT
     ) {
       this.#inspector.dropIncompleteEvent();
@@ -68,22 +68,25 @@
           const end = this.#forwardChunk(body, chunk);
           if (end) settle(end);
         } catch (error) {
-          settle({ kind: "broken", error: error as Error });
+          settle({ kind: "interrupted", error: error as Error });
         }
       });
       body.on("end", () => settle(this.#finish()));
-      body.on("error", (error: Error) => settle({ kind: "broken", error }));
+      body.on(
+        "error",
+        (error: Error) => settle({ kind: "interrupted", error }),
+      );
     });
   }
 
-  /** Forwards the events that are whole; returns an end if the answer is not ours. */
+  /** Forwards complete events; returns an end if the stream is of another model. */
   #forwardChunk(body: Readable, chunk: Buffer): StreamEnd | undefined {
     const { sink, head, onForward } = this.#options;
     const events = this.#inspector.push(chunk);
     if (events === undefined) return undefined;
     if (!this.#hasBegun) {
       const model = this.#inspector.model ?? "";
-      if (model !== head.servedModel) return { kind: "crossed", model };
+      if (model !== head.servedModel) return { kind: "wrongModel", model };
       this.#hasBegun = true;
       sink.begin(head);
     }
@@ -99,8 +102,8 @@
     if (rest && this.#hasBegun) this.#options.sink.write(rest);
     if (this.#inspector.isComplete()) return { kind: "completed" };
     return {
-      kind: "broken",
-      error: new Error("Expected an end mark, found the stream ended"),
+      kind: "interrupted",
+      error: new Error("Expected a [DONE] event, found the end of the stream"),
     };
   }
 }
--- a/src/daemon/upstream_orders.ts
+++ b/src/daemon/upstream_orders.ts
@@ -1,4 +1,4 @@
-/** Requests to an upstream that answer at once: orders, cancellations, readings of its state. */
+/** Control requests to an upstream: orders, cancellations and reads of its state. */
 import type { Dispatcher } from "undici";
 import type { Effect } from "../core/effects.ts";
 import type { OrderResult } from "../core/events.ts";
@@ -12,7 +12,7 @@
 const ORDER_TIMEOUT_MS = 30_000;
 const CANCEL_TIMEOUT_MS = 2_000;
 
-/** Gives an order and returns how it ended. */
+/** Sends an order and returns its result. */
 export async function sendOrder(
   agent: Dispatcher,
   effect: OrderEffect,
@@ -40,7 +40,7 @@
   }
 }
 
-/** Reads the state of an upstream; tells a refused connection from other failures. */
+/** Reads the state of an upstream; a failure tells whether the connection was refused. */
 export async function fetchState(
   agent: Dispatcher,
   address: string,
@@ -58,7 +58,7 @@
   }
 }
 
-/** Cancels a run; returns the status of the upstream's answer, undefined when there is none. */
+/** Cancels a run; returns the status of the upstream's response, or undefined if there is none. */
 export async function cancelRun(
   agent: Dispatcher,
   address: string,
--- a/src/daemon/upstream_resumption.ts
+++ b/src/daemon/upstream_resumption.ts
@@ -1,15 +1,15 @@
-/** Opens the rest of a stream whose connection was cut, on the engine that still has the run. */
+/** Resumes a stream whose connection was lost, on the engine that still has its run. */
 import type { Readable } from "node:stream";
 import type { Dispatcher } from "undici";
 import type { DispatchEffect } from "../core/effects.ts";
 
-/** Tries to reach an engine before its stream is given up. */
+/** Attempts to reach the engine before the stream is abandoned. */
 const MAX_TRIES = 3;
 const RETRY_INTERVAL_MS = 50;
 
 /**
- * Returns the rest after the given number of events, or undefined: the engine
- * has restarted, no longer has the run, or can't be reached.
+ * Returns the stream from after the given number of events, or undefined if the
+ * engine has restarted, no longer has the run or can't be reached.
  */
 export async function resumeStream(
   agent: Dispatcher,
--- a/src/daemon/upstream_schemas.ts
+++ b/src/daemon/upstream_schemas.ts
@@ -1,8 +1,8 @@
-/** Schemas of what upstreams and the platform answer. */
+/** Schemas of the responses of upstreams and of the platform. */
 import * as z from "zod";
 import { HostRole, HostState } from "../core/structures.ts";
 
-/** Answer of `GET /state` on an upstream. */
+/** Response to `GET /state` on an upstream. */
 export const engineStateSchema = z.object({
   incarnation: z.string(),
   fencing: z.number().default(0),
@@ -14,7 +14,7 @@
   running: z.number().default(0),
 });
 
-/** Answer of `GET /v1/hosts` of the host list. */
+/** Response to `GET /v1/hosts` of the host list. */
 export const hostListSchema = z.object({
   revision: z.number(),
   hosts: z.array(z.object({
@@ -27,13 +27,13 @@
   })),
 });
 
-/** Answer of `GET /v1/keys` and `GET /v1/watch` of the configuration service. */
+/** Response to `GET /v1/keys` and `GET /v1/watch` of the configuration service. */
 export const keysSchema = z.object({
   revision: z.number(),
   keys: z.array(z.string()),
 });
 
-/** Answer of `GET /v1/keys/<key>` of the configuration service. */
+/** Response to `GET /v1/keys/<key>` of the configuration service. */
 export const keyValueSchema = z.object({
   revision: z.number(),
   value: z.string(),
--- a/src/daemon/upstream_task.ts
+++ b/src/daemon/upstream_task.ts
@@ -1,4 +1,4 @@
-/** The task that owns the connections to upstreams: dispatches attempts, gives orders and reads states. */
+/** The task that owns the connections to upstreams: dispatches attempts, sends orders and reads states. */
 import { performance } from "node:perf_hooks";
 import type { Readable } from "node:stream";
 import { Agent, type Dispatcher } from "undici";
@@ -26,7 +26,7 @@
 import { resumeStream } from "./upstream_resumption.ts";
 
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Timers may fire this much early. */
+/** Timers may fire early by up to this much. */
 const TIMER_TOLERANCE_MS = 1;
 
 export interface UpstreamTaskOptions {
@@ -40,7 +40,7 @@
   effect: DispatchEffect;
   abortController: AbortController;
   isCancelled: boolean;
-  /** End of the longest run; an engine that keeps it cuts the answer no earlier. */
+  /** When the run reaches its time limit; an engine that enforces the limit closes the response no earlier. */
   runEndsAt: Milliseconds;
   bytesForwarded: number;
 }
@@ -67,7 +67,7 @@
     await this.#agent.destroy();
   }
 
-  /** Cuts the way to some upstreams, for tests of partitions. */
+  /** Stops communication with these upstreams, to simulate a network partition in tests. */
   setBlockedUpstreams(ids: readonly string[]): void {
     this.#blocked.clear();
     for (const id of ids) this.#blocked.add(id);
@@ -102,7 +102,7 @@
     const exchange = this.#options.exchanges.get(effect.requestId);
     if (!exchange) return createNotSentEnd("no exchange");
     if (this.#blocked.has(effect.upstreamId)) {
-      return createNotSentEnd("cut off");
+      return createNotSentEnd("blocked");
     }
     if (performance.now() >= effect.dispatchUntil) {
       return createNotSentEnd("dispatch window closed");
@@ -191,14 +191,14 @@
           result: { kind: "completed", servedModel: head.servedModel },
           answer: createStoredAnswer(head, undefined),
         };
-      case "crossed":
+      case "wrongModel":
         return await this.#dropMismatched(attempt, response, end.model);
-      case "broken":
+      case "interrupted":
         return await this.#handleError(attempt, end.error);
     }
   }
 
-  /** Opens the rest of a stream whose connection was cut, while its run may go on. */
+  /** Resumes a stream whose connection was lost, if its run may still be in progress. */
   async #resume(
     attempt: RunningAttempt,
     afterEvents: number,
@@ -265,7 +265,7 @@
     }
     if (attempt.isCancelled) {
       const status = await this.#cancelOnUpstream(attempt.effect);
-      // An upstream that never heard of the run may still have it before it.
+      // After a 404 the upstream may still receive the request, unless it has already sent part of its response.
       const hasRunEnded = status === 200 ||
         (status === 404 && attempt.bytesForwarded > 0);
       return hasRunEnded
@@ -287,7 +287,7 @@
     attempt.abortController.abort();
   }
 
-  /** Cancels a run; returns the status of the upstream's answer, undefined when there is none. */
+  /** Cancels a run; returns the status of the upstream's response, or undefined if there is none. */
   async #cancelOnUpstream(
     effect: DispatchEffect,
   ): Promise<number | undefined> {
@@ -321,7 +321,7 @@
       return { kind: "failed", detail: "order came too late" };
     }
     if (this.#blocked.has(effect.upstreamId)) {
-      return { kind: "unknown", detail: "cut off" };
+      return { kind: "unknown", detail: "blocked" };
     }
     return await sendOrder(this.#agent, effect);
   }
--- a/src/protocol/peer_codec.ts
+++ b/src/protocol/peer_codec.ts
@@ -1,4 +1,4 @@
-/** Encodes envelopes of peer messages as protobuf; the core's messages have the same fields. */
+/** Encodes envelopes of peer messages as protobuf. The core's message types have the same fields as the protobuf ones. */
 import { create, fromBinary, toBinary } from "@bufbuild/protobuf";
 import type { PeerMessage } from "../core/messages.ts";
 import {
@@ -25,7 +25,7 @@
   return toBinary(EnvelopeSchema, wire);
 }
 
-/** Decodes an envelope; messages of kinds unknown to this version are left out. */
+/** Decodes an envelope; messages of a kind unknown to this version are skipped. */
 export function decodeEnvelope(bytes: Uint8Array): EnvelopeStructure {
   const wire = fromBinary(EnvelopeSchema, bytes);
   return {
@@ -48,7 +48,7 @@
   return { kind: message.body.case, ...fields } as PeerMessage;
 }
 
-/** Returns a copy without the library's type marks, so that decoded messages equal those sent. */
+/** Returns a copy without the fields that the library adds, so that decoded messages equal those sent. */
 function stripTypeNames(value: unknown): unknown {
   if (value instanceof Uint8Array) return value;
   if (Array.isArray(value)) return value.map(stripTypeNames);
--- a/test/contracts/caller_contract_test.ts
+++ b/test/contracts/caller_contract_test.ts
@@ -1,4 +1,4 @@
-/** The contract with callers: one row a fault, with the answer's bytes and what is counted. */
+/** Contract with callers: one row per fault, with the bytes of the response and the counters. */
 import { Buffer } from "node:buffer";
 import { connect, type Socket } from "node:net";
 import { suite } from "uvu";
@@ -6,7 +6,7 @@
 import { ContractBench, subtractCounters, TOKENS } from "./contract_bench.ts";
 
 const MAX_BODY_BYTES = 131_072;
-/** Nesting within the bound of a body. */
+/** Nesting of a body that is within the size limit. */
 const NESTING_DEPTH = 60_000;
 const MAX_HEADER_BYTES = 8_192;
 const STALL_TIMEOUT_MS = 300;
@@ -82,7 +82,7 @@
     counter: "refused.unknownRoute",
   },
   {
-    fault: "other method",
+    fault: "unsupported method",
     request: { method: "PUT" },
     status: 404,
     reason: "unknownRoute",
@@ -96,14 +96,14 @@
     counter: "refused.invalidRequest",
   },
   {
-    fault: "bad UTF-8",
+    fault: "invalid UTF-8",
     request: { body: Buffer.from([0x7b, 0xff, 0xfe, 0x7d]) },
     status: 400,
     reason: "invalidRequest",
     counter: "refused.invalidRequest",
   },
   {
-    fault: "a list in place of an object",
+    fault: "an array instead of an object",
     request: { body: "[]" },
     status: 400,
     reason: "invalidRequest",
@@ -124,7 +124,7 @@
     counter: "refused.invalidRequest",
   },
   {
-    fault: "JSON nested deeper than it can be sent on",
+    fault: "JSON nested too deeply to be forwarded",
     request: {
       body: `{"model":"briefing","deep":${"[".repeat(NESTING_DEPTH)}${
         "]".repeat(NESTING_DEPTH)
@@ -135,7 +135,7 @@
     counter: "refused.invalidRequest",
   },
   {
-    fault: "bad escape in the path",
+    fault: "invalid escape in the path",
     request: { path: "/v1/services/%E0%A4%A" },
     status: 400,
     reason: "invalidRequest",
@@ -186,7 +186,7 @@
     counter: "refused.ticketRequired",
   },
   {
-    fault: "ticket that is none",
+    fault: "malformed ticket",
     request: {
       path: "/v1/services/unlock",
       headers: { "idempotency-key": "my-own-key" },
@@ -196,7 +196,7 @@
     counter: "refused.ticketInvalid",
   },
   {
-    fault: "forged ticket of this daemon's earlier life",
+    fault: "forged ticket of an earlier incarnation of this daemon",
     request: {
       path: "/v1/services/unlock",
       headers: {
@@ -208,7 +208,7 @@
     counter: "refused.ticketExpired",
   },
   {
-    fault: "ticket of a daemon that is not heard",
+    fault: "ticket issued by an unreachable daemon",
     request: {
       path: "/v1/services/unlock",
       headers: { "idempotency-key": "entry-9~other~1~xxxxxxxxxxxxxxxxxxxxxx" },
@@ -236,40 +236,46 @@
   });
 }
 
-callers("unknown and another customer's routes look the same", async () => {
-  for (const path of ["/v1/chat/completions", "/v1/services/"]) {
-    const isService = path.endsWith("/");
-    const answers = await Promise.all(
-      ["nothing", isService ? "balance" : "briefing"].map((route) =>
-        sendRaw(formatRequest({
-          path: isService ? `${path}${route}` : path,
-          headers: { authorization: `Bearer ${TOKENS.solljus}` },
-          body: JSON.stringify({ model: route }),
-        }))
-      ),
-    );
-    const [unknown, foreign] = answers.map((answer) =>
-      answer.text.replace(/date: .*/i, "")
-    );
-    assert.is(unknown, foreign);
-    assert.match(unknown ?? "", "unknownRoute");
-  }
-});
+callers(
+  "an unknown route and another customer's route get the same response",
+  async () => {
+    for (const path of ["/v1/chat/completions", "/v1/services/"]) {
+      const isService = path.endsWith("/");
+      const answers = await Promise.all(
+        ["nothing", isService ? "balance" : "briefing"].map((route) =>
+          sendRaw(formatRequest({
+            path: isService ? `${path}${route}` : path,
+            headers: { authorization: `Bearer ${TOKENS.solljus}` },
+            body: JSON.stringify({ model: route }),
+          }))
+        ),
+      );
+      const [unknown, foreign] = answers.map((answer) =>
+        answer.text.replace(/date: .*/i, "")
+      );
+      assert.is(unknown, foreign);
+      assert.match(unknown ?? "", "unknownRoute");
+    }
+  },
+);
 
-callers("unparsable requests close the connection cleanly", async () => {
-  for (
-    const bytes of [
-      "\u0000\u0001\r\n\r\n",
-      "GET\r\n\r\n",
-      "POST / HTTP/9\r\n\r\n",
-    ]
-  ) {
-    const answer = await sendRaw(bytes);
-    assert.is(answer.status, 400, answer.text);
-  }
-});
+callers(
+  "unparsable requests get status 400 and their connection is closed",
+  async () => {
+    for (
+      const bytes of [
+        "\u0000\u0001\r\n\r\n",
+        "GET\r\n\r\n",
+        "POST / HTTP/9\r\n\r\n",
+      ]
+    ) {
+      const answer = await sendRaw(bytes);
+      assert.is(answer.status, 400, answer.text);
+    }
+  },
+);
 
-callers("a request that never ends is timed out", async () => {
+callers("a request that never completes times out", async () => {
   const head =
     formatRequest({ body: COMPLETION_BODY }).toString().split("\r\n\r\n")[0];
   assert.is((await sendRaw(`${head}\r\nx-more`)).status, 408);
@@ -277,7 +283,7 @@
 });
 
 callers(
-  "a half-closed socket is closed cleanly, as its caller's end",
+  "a half-closed socket is closed without a response, as its caller is gone",
   async () => {
     const before = await bench.getCounters();
     const answer = await sendRaw(
@@ -289,25 +295,31 @@
   },
 );
 
-callers("a half-sent body and an end are no request", async () => {
-  const bytes = formatRequest({ body: COMPLETION_BODY });
-  const answer = await sendRaw(bytes.subarray(0, bytes.length - 3), true);
-  assert.ok([0, 400].includes(answer.status), answer.text);
-  assert.is((await bench.call()).status, 200);
-});
+callers(
+  "a request that is cut short within its body is not served",
+  async () => {
+    const bytes = formatRequest({ body: COMPLETION_BODY });
+    const answer = await sendRaw(bytes.subarray(0, bytes.length - 3), true);
+    assert.ok([0, 400].includes(answer.status), answer.text);
+    assert.is((await bench.call()).status, 200);
+  },
+);
 
-callers("connections beyond the bound are dropped and counted", async () => {
-  const before = await bench.getCounters();
-  const sockets = Array.from({ length: 60 }, () => openSocket());
-  await bench.waitForCounter("connection_dropped", before);
-  for (const socket of sockets) socket.destroy();
-  await bench.waitUntil("callers are served again", async () => {
-    const answer = await bench.call().catch(() => undefined);
-    return answer?.status === 200;
-  });
-});
+callers(
+  "connections beyond maxConnections are dropped and counted",
+  async () => {
+    const before = await bench.getCounters();
+    const sockets = Array.from({ length: 60 }, () => openSocket());
+    await bench.waitForCounter("connection_dropped", before);
+    for (const socket of sockets) socket.destroy();
+    await bench.waitUntil("callers are served again", async () => {
+      const answer = await bench.call().catch(() => undefined);
+      return answer?.status === 200;
+    });
+  },
+);
 
-callers("garbage behind a request does not enter its answer", async () => {
+callers("garbage after a request does not corrupt its response", async () => {
   const garbage = Buffer.from("\u0000 garbage\r\n\r\n");
   const request = formatRequest({
     body: COMPLETION_BODY,
@@ -317,7 +329,7 @@
   assert.is(answer.text.split("HTTP/1.1").length <= 2, true, answer.text);
 });
 
-callers("a slow reader holds only its own stream", async () => {
+callers("a slow caller delays only its own stream", async () => {
   const engine = bench.engines[0];
   if (!engine) throw new Error("Expected an engine, found none");
   const before = await bench.getCounters();
@@ -346,7 +358,7 @@
   socket.destroy();
 });
 
-callers("the run of a caller that went away is cancelled", async () => {
+callers("the run of a caller that has disconnected is cancelled", async () => {
   const engine = bench.engines[0];
   engine?.faults.nextRuns.push({ kind: "stall" });
   const before = await bench.getCounters();
@@ -366,7 +378,7 @@
 });
 
 callers(
-  "the run of a ticket goes on without its caller and is replayed",
+  "a run with a ticket continues after its caller disconnects, and its response is replayed",
   async () => {
     bench.service.faults.runTimeMs = 100;
     const call = { path: "/v1/services/unlock", body: { lantern: 7 } };
@@ -402,7 +414,7 @@
 }
 
 const TICKET_ROWS: TicketRow[] = [
-  { fault: "spent ticket is replayed", change: {}, status: 200 },
+  { fault: "spent ticket replays the response", change: {}, status: 200 },
   {
     fault: "spent ticket with another body",
     change: { body: { lantern: 9 } },
@@ -468,7 +480,7 @@
   return socket.on("error", () => {});
 }
 
-/** Sends bytes and reads until the daemon closes; status 0 without an answer. */
+/** Sends bytes and reads until the daemon closes the connection; the status is 0 if there was no response. */
 async function sendRaw(
   bytes: Buffer | string,
   isHalfClosed = false,
--- a/test/contracts/contract_bench.ts
+++ b/test/contracts/contract_bench.ts
@@ -1,4 +1,4 @@
-/** One real daemon between stand-ins, in this process, for the contract tests. */
+/** Test bench of the contract tests: one real daemon with fake upstreams and a fake platform, in this process. */
 import { createHash } from "node:crypto";
 import { setTimeout as wait } from "node:timers/promises";
 import { stringify } from "yaml";
@@ -78,7 +78,7 @@
     return `127.0.0.1:${this.#getPorts().operators}`;
   }
 
-  /** Starts the stand-ins and a daemon, and waits until it serves and owns its upstreams. */
+  /** Starts the fakes and a daemon, and waits until it serves and owns its upstreams. */
   async start(): Promise<void> {
     await this.startFakes();
     this.publishTables();
@@ -196,7 +196,7 @@
     ]);
   }
 
-  /** Sends a call whose body no other call has. */
+  /** Sends a call with a unique body, unless one is given. */
   async call(call: BenchCall = {}): Promise<CallerAnswer> {
     this.#lastCall += 1;
     const { model = "briefing", stream = false } = call;
@@ -210,7 +210,7 @@
     });
   }
 
-  /** Gets a ticket for the call and sends it under the ticket. */
+  /** Gets a ticket for the call and sends the call with it. */
   async callWithTicket(call: BenchCall): Promise<CallerAnswer> {
     const body = call.body ?? { model: call.model, stream: call.stream };
     const ticket = (await this.call({ ...call, body })).refusal?.ticket ?? "";
@@ -230,7 +230,7 @@
     return (await this.getStatus()).metrics.counters;
   }
 
-  /** Waits until a counter has grown beyond what it was. */
+  /** Waits until a counter exceeds its earlier value. */
   async waitForCounter(
     counter: string,
     before: Record<string, number>,
@@ -242,7 +242,7 @@
   }
 
   async waitUntil(
-    what: string,
+    expectation: string,
     isMet: () => boolean | Promise<boolean>,
   ): Promise<void> {
     const endsAt = performance.now() + WAIT_TIMEOUT_MS;
@@ -250,7 +250,9 @@
       if (await isMet()) return;
       await wait(POLL_INTERVAL_MS);
     }
-    throw new Error(`Expected within ${WAIT_TIMEOUT_MS} ms that ${what}`);
+    throw new Error(
+      `Expected within ${WAIT_TIMEOUT_MS} ms that ${expectation}`,
+    );
   }
 
   #getPorts(): DaemonPorts {
@@ -286,7 +288,7 @@
         stateReadIntervalMs: 20,
         engineReportLagMs: 20,
         storeLoadsPerSecond: 1_000,
-        // A loaded machine may hold up this process, stand-ins and all.
+        // On a loaded machine this process may stall, with the fakes in it.
         pauseThresholdMs: 10_000,
         ownershipValidityMs: 10_000,
         ...section("core"),
@@ -318,7 +320,7 @@
   };
 }
 
-/** Returns what each counter has gained. */
+/** Returns the increase of each counter that has changed. */
 export function subtractCounters(
   after: Record<string, number>,
   before: Record<string, number>,
--- a/test/contracts/engine_contract_test.ts
+++ b/test/contracts/engine_contract_test.ts
@@ -1,4 +1,4 @@
-/** The contract with engines: one row a fault, with what the caller is told and what is counted. */
+/** Contract with engines: one row per fault, with the response to the caller and the counters. */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import type { RunFault } from "../../fakes/run_fault.ts";
@@ -8,13 +8,12 @@
   fault: string;
   faults: RunFault[];
   stream?: boolean;
-  /** Whether the route is non-idempotent. */
-  isOrder?: boolean;
+  isNonIdempotent?: boolean;
   status: number;
   reason?: string;
   outcome?: string;
   counters: Record<string, number>;
-  /** Attempts that reached the engines and started. */
+  /** Runs that the engines started. */
   runs: number;
 }
 
@@ -38,9 +37,9 @@
     runs: 1,
   })),
   ...[404, 429, 503].map((status) => ({
-    fault: `order refused with ${status}, which did not start it`,
+    fault: `non-idempotent request refused with ${status} before it ran`,
     faults: [answerStatus(status)],
-    isOrder: true,
+    isNonIdempotent: true,
     status: 200,
     counters: { "retried.refusedByUpstream": 1 },
     runs: 1,
@@ -103,9 +102,9 @@
     runs: 2,
   },
   {
-    fault: "wrong model in the body of an order",
+    fault: "wrong model in the body of a non-idempotent request",
     faults: [{ kind: "wrongBodyModel" }],
-    isOrder: true,
+    isNonIdempotent: true,
     status: 502,
     reason: "wrongAdapter",
     outcome: "mayHaveRun",
@@ -120,21 +119,21 @@
     runs: 2,
   },
   {
-    fault: "cut before the head",
+    fault: "connection closed before the headers",
     faults: [{ kind: "cutBeforeHead" }],
     status: 200,
     counters: { "retried.upstreamLost": 1 },
     runs: 2,
   },
   {
-    fault: "order cut before the head",
+    fault: "connection of a non-idempotent request closed before the headers",
     faults: [{ kind: "cutBeforeHead" }],
-    isOrder: true,
+    isNonIdempotent: true,
     ...LOST,
     runs: 1,
   },
   {
-    fault: "cut after the head",
+    fault: "connection closed after the headers",
     faults: [{ kind: "cutAfterHead" }],
     stream: true,
     status: 200,
@@ -142,14 +141,15 @@
     runs: 2,
   },
   {
-    fault: "cut within the body of a whole answer",
+    fault:
+      "connection closed within the body of a response that is not streamed",
     faults: [{ kind: "cutMidAnswer" }],
     status: 200,
     counters: { "retried.upstreamLost": 1 },
     runs: 2,
   },
   {
-    fault: "stream cut within an event",
+    fault: "connection closed within an event of a stream",
     faults: [{ kind: "cutMidAnswer" }],
     stream: true,
     ...LOST,
@@ -157,7 +157,7 @@
     runs: 1,
   },
   {
-    fault: "stream without an end mark",
+    fault: "stream without [DONE]",
     faults: [{ kind: "omitEndMark" }],
     stream: true,
     ...LOST,
@@ -165,7 +165,7 @@
     runs: 1,
   },
   {
-    fault: "no answer within the longest run",
+    fault: "no response within maxRunMs",
     faults: [{ kind: "stall" }],
     status: 504,
     reason: "runTimeExceeded",
@@ -190,15 +190,15 @@
   engineContract(row.fault, async ({ bench }) => {
     const before = await bench.getCounters();
     shareFaults(bench, row.faults);
-    const call = { model: row.isOrder ? "order" : "briefing" };
-    const answer = row.isOrder
+    const call = { model: row.isNonIdempotent ? "order" : "briefing" };
+    const answer = row.isNonIdempotent
       ? await bench.callWithTicket(call)
       : await bench.call({ ...call, stream: row.stream ?? false });
     assert.is(answer.status, row.status, answer.text);
     assert.is(answer.refusal?.reason, row.reason);
     assert.is(answer.refusal?.outcome, row.outcome);
     assert.is(answer.isWhole, row.status !== 200 || row.reason === undefined);
-    const ticketed = row.isOrder ? { "refused.ticketRequired": 1 } : {};
+    const ticketed = row.isNonIdempotent ? { "refused.ticketRequired": 1 } : {};
     assert.equal(
       pickReasons(subtractCounters(await bench.getCounters(), before)),
       {
@@ -213,16 +213,16 @@
   });
 }
 
-interface OrderRow {
+interface StateRow {
   fault: string;
   arrange: (bench: ContractBench) => void | Promise<void>;
   status: number;
   reason?: string;
-  /** Counters that have grown by the time of the answer. */
+  /** Counters that have increased when the response arrives. */
   counters: string[];
 }
 
-const ORDER_ROWS: OrderRow[] = [
+const STATE_ROWS: StateRow[] = [
   {
     fault: "load failed once",
     arrange: ({ engines }) => {
@@ -282,7 +282,7 @@
     counters: [],
   },
   {
-    fault: "restarted empty",
+    fault: "engines restarted without adapters",
     arrange: async (bench) => {
       await bench.call();
       for (const engine of bench.engines) {
@@ -295,7 +295,7 @@
   },
 ];
 
-for (const row of ORDER_ROWS) {
+for (const row of STATE_ROWS) {
   engineContract(row.fault, async ({ bench }) => {
     await row.arrange(bench);
     const answer = await bench.call();
@@ -314,13 +314,13 @@
 }
 
 async function waitUntilDown(bench: ContractBench): Promise<void> {
-  await bench.waitUntil("the engines are taken for down", async () => {
+  await bench.waitUntil("the engines are considered down", async () => {
     const { upstreams } = await bench.getStatus();
     return upstreams.filter((entry) => !entry.up).length === 2;
   });
 }
 
-/** Arms whichever engine is asked first; the engines share one list of faults. */
+/** Shares one list of faults among the engines: whichever gets a run takes the next fault. */
 function shareFaults(bench: ContractBench, faults: RunFault[]): void {
   for (const engine of bench.engines) engine.faults.nextRuns = faults;
 }
--- a/test/contracts/peer_contract_test.ts
+++ b/test/contracts/peer_contract_test.ts
@@ -1,4 +1,4 @@
-/** The contract between daemons, against a real daemon: one row a fault. */
+/** Contract between daemons, tested against a real daemon: one row per fault. */
 import { Buffer } from "node:buffer";
 import { readFileSync } from "node:fs";
 import type { Readable } from "node:stream";
@@ -41,23 +41,23 @@
 
 const ROWS: PeerRow[] = [
   {
-    fault: "bytes that are no envelope",
+    fault: "bytes that are not an envelope",
     bytes: () => new Uint8Array([255, 255, 255]),
     counters: { envelope_malformed: 1 },
   },
   {
-    fault: "envelope cut short",
+    fault: "truncated envelope",
     bytes: () => encodeTables(9).subarray(0, 20),
     counters: { envelope_malformed: 1 },
   },
   { fault: "empty envelope", bytes: () => new Uint8Array(), counters: {} },
   {
-    fault: "message of an unknown kind, before one that is known",
+    fault: "message of an unknown kind before one of a known kind",
     bytes: () => Buffer.concat([createUnknownKind(), encodeTables(1)]),
     counters: { "tables.stale": 1 },
   },
   ...listEmptyMessages().map(({ kind, bytes }) => ({
-    fault: `${kind} of a stranger, without a field`,
+    fault: `${kind} of an unknown daemon, with no field set`,
     bytes: () => bytes,
   })),
   {
@@ -66,12 +66,12 @@
     counters: { "tables.stale": 1 },
   },
   {
-    fault: "tables that do not follow on those held",
+    fault: "tables delta from another revision than the current one",
     bytes: () => encodeTables(1_000),
     counters: { "tables.gap": 1 },
   },
   {
-    fault: "tables that are not valid as a whole",
+    fault: "tables delta with a wrong digest",
     bytes: () => encodeTables(1_000, PUBLISHED_REVISION),
     counters: { "tables.digestMismatch": 1 },
   },
@@ -81,7 +81,7 @@
     counters: { "lease_refused.notOwner": 1 },
   },
   {
-    fault: "envelope over the bound",
+    fault: "envelope over the size limit",
     bytes: () => new Uint8Array(TOO_LARGE_BYTES),
     code: status.RESOURCE_EXHAUSTED,
     counters: {},
@@ -140,14 +140,14 @@
 
 const TLS_ROWS: TlsRow[] = [
   {
-    fault: "certificate of the authority",
+    fault: "certificate of the trusted authority",
     certificate: "daemon",
     authority: "authority",
     code: status.OK,
   },
   {
     fault: "certificate of another authority",
-    certificate: "stranger",
+    certificate: "untrusted",
     authority: "authority",
     code: status.UNAVAILABLE,
   },
@@ -158,14 +158,14 @@
     code: status.UNAVAILABLE,
   },
   {
-    fault: "caller that trusts another authority",
+    fault: "client that trusts another authority",
     certificate: "daemon",
-    authority: "stranger_authority",
+    authority: "untrusted_authority",
     code: status.UNAVAILABLE,
   },
 ];
 
-peers("mutual TLS: who is let in", async () => {
+peers("mutual TLS: which clients are accepted", async () => {
   const bench = new ContractBench({ settings: { peers: { tls: TLS } } });
   await bench.start();
   const envelope = encodeTables(1);
@@ -191,14 +191,14 @@
 
 for (
   const [certificate, isTrusted] of [["daemon", true], [
-    "stranger",
+    "untrusted",
     false,
   ]] as const
 ) {
   peers(
     `mutual TLS: a daemon ${
       isTrusted ? "delivers" : "delivers nothing"
-    } to a ${certificate}`,
+    } to a peer with the certificate "${certificate}"`,
     async () => {
       const received = await listenAsPeer(certificate);
       const bench = new ContractBench({
@@ -244,7 +244,7 @@
     error: /peers\.tls or peers\.allowPlaintextBeyondLoopback/,
   },
   {
-    fault: "plaintext beyond loopback, allowed by name",
+    fault: "plaintext beyond loopback, explicitly allowed",
     settings: { listen: "0.0.0.0:0", allowPlaintextBeyondLoopback: true },
   },
   {
@@ -252,7 +252,7 @@
     settings: { listen: "0.0.0.0:0", tls: createTlsSettings("daemon") },
   },
   {
-    fault: "certificate file that is missing",
+    fault: "missing key file",
     settings: { tls: { ...createTlsSettings("daemon"), keyFile: "/missing" } },
     error: /\/missing/,
   },
@@ -293,7 +293,7 @@
   );
 }
 
-/** Delivers bytes as a peer does; returns the status of the call. */
+/** Sends bytes to the Deliver method; returns the gRPC status. */
 async function deliver(
   port: number,
   bytes: Uint8Array,
@@ -315,7 +315,7 @@
   return code;
 }
 
-/** Listens as a peer with a certificate; counts envelopes. */
+/** Starts a peer with the given certificate that counts the envelopes it receives. */
 async function listenAsPeer(certificate: string): Promise<{
   server: Server;
   port: number;
--- a/test/contracts/peer_messages.ts
+++ b/test/contracts/peer_messages.ts
@@ -1,4 +1,4 @@
-/** Envelopes as bytes, for the contract tests between daemons. */
+/** Encoded envelopes for the contract tests between daemons. */
 import { create, toBinary } from "@bufbuild/protobuf";
 import { encodeEnvelope } from "../../src/protocol/peer_codec.ts";
 import {
@@ -8,15 +8,15 @@
 } from "../../src/protocol/generated/peer_pb.ts";
 
 const UNKNOWN_PEER = "entry-9";
-/** An envelope's field 2 of one message, whose field 100 is empty. */
+/** Encoded envelope of one message, whose only field is number 100 and empty. */
 const UNKNOWN_KIND = new Uint8Array([0x12, 3, 0xa2, 6, 0]);
 
-/** Returns an envelope of one message of a kind that no version has. */
+/** Returns an envelope of one message of a kind that no version defines. */
 export function createUnknownKind(): Uint8Array {
   return UNKNOWN_KIND;
 }
 
-/** Returns an envelope for each kind of message, in which no field is set. */
+/** Returns an envelope for each kind of message, with no field of the message set. */
 export function listEmptyMessages(): { kind: string; bytes: Uint8Array }[] {
   return PeerMessageSchema.fields.map((field) => {
     const envelope = {
@@ -28,7 +28,7 @@
   });
 }
 
-/** Returns a request for a lease on an upstream that nobody has. */
+/** Returns a lease request for an upstream that no daemon owns. */
 export function createLeaseRequest(): Uint8Array {
   return encodeEnvelope({
     from: UNKNOWN_PEER,
@@ -49,7 +49,7 @@
   });
 }
 
-/** Returns an envelope of a delta between two revisions of the tables, with a digest of nothing. */
+/** Returns an envelope of a delta between two revisions of the tables, with an empty digest. */
 export function encodeTables(
   toRevision: number,
   fromRevision = toRevision - 1,
--- a/test/contracts/platform_contract_test.ts
+++ b/test/contracts/platform_contract_test.ts
@@ -1,4 +1,4 @@
-/** The contract with the platform: configuration service, host list and weight store; one row a fault. */
+/** Contract with the platform (configuration service, host list and weight store): one row per fault. */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { FakeStore } from "../../fakes/fake_store.ts";
@@ -18,10 +18,10 @@
 
 interface ConfigurationRow {
   fault: string;
-  /** Breaks the service or publishes what cannot be taken. */
+  /** Breaks the service or publishes an invalid revision. */
   arrange: (bench: ContractBench) => void;
   counter: string;
-  /** Mends what was broken. */
+  /** Repairs the service. */
   repair?: (bench: ContractBench) => void;
 }
 
@@ -46,7 +46,7 @@
     counter: "tables.invalid",
   },
   {
-    fault: "invalid revision: aliases that multiply",
+    fault: "invalid revision: aliases that expand exponentially",
     arrange: ({ configuration }) =>
       configuration.setKey("routes", formatAliasBomb()),
     counter: "tables.invalid",
@@ -61,7 +61,7 @@
     counter: "tables.invalid",
   },
   {
-    fault: "keys at several revisions, again and again",
+    fault: "keys at different revisions in every read",
     arrange: (bench) => {
       bench.configuration.faults.tornReads = 1_000_000;
       bench.publishTables();
@@ -76,7 +76,7 @@
     repair: ({ configuration }) => configuration.setDown(false),
   },
   {
-    fault: "answers that are no JSON",
+    fault: "responses that are not JSON",
     arrange: ({ configuration }) => {
       configuration.faults.isGarbled = true;
       configuration.dropConnections();
@@ -85,7 +85,7 @@
     repair: ({ configuration }) => configuration.faults.isGarbled = false,
   },
   {
-    fault: "service stale",
+    fault: "service at an older revision",
     arrange: ({ configuration }) => {
       configuration.faults.staleAtRevision = 2;
       configuration.dropConnections();
@@ -95,7 +95,7 @@
   },
 ];
 
-/** Returns a short text whose lists hold each other nine times over, nine deep. */
+/** Returns a short YAML text of nine lists, each with nine aliases of the one before. */
 function formatAliasBomb(): string {
   const lines = Array.from({ length: 9 }, (_, level) => {
     const items = Array(9).fill(level === 0 ? "x" : `*l${level - 1}`);
@@ -116,19 +116,22 @@
     assert.ok((await bench.getStatus()).tablesRevision >= tablesRevision);
     row.repair?.(bench);
     bench.publishTables({ version: "v2" });
-    await bench.waitUntil("the next good revision is in force", async () => {
+    await bench.waitUntil("the next valid revision is active", async () => {
       const answer = await bench.call();
       return answer.headers.get("x-adapter-version") === "v2";
     });
   });
 }
 
-platform("configuration: one torn reading is read again", async ({ bench }) => {
-  bench.configuration.faults.tornReads = 1;
-  await bench.start();
-  assert.is(bench.configuration.faults.tornReads, 0);
-  assert.is((await bench.call()).status, 200);
-});
+platform(
+  "configuration: a read with keys at different revisions is repeated",
+  async ({ bench }) => {
+    bench.configuration.faults.tornReads = 1;
+    await bench.start();
+    assert.is(bench.configuration.faults.tornReads, 0);
+    assert.is((await bench.call()).status, 200);
+  },
+);
 
 platform("configuration: down at the start, then up", async ({ bench }) => {
   await bench.startFakes();
@@ -163,7 +166,7 @@
     counter: "platform_unread.readHostList",
   },
   {
-    fault: "answers that are no JSON",
+    fault: "responses that are not JSON",
     arrange: ({ hostList }) => hostList.faults.isGarbled = true,
     counter: "platform_unread.readHostList",
   },
@@ -198,14 +201,14 @@
 }
 
 platform(
-  "host list: a leaving upstream gets no new work",
+  "host list: a leaving upstream gets no new requests",
   async ({ bench }) => {
     await bench.start();
     await bench.call();
     const { hostListRevision } = await bench.getStatus();
     bench.publishHosts({ state: "leaving" });
     await bench.waitUntil(
-      "the notice is seen",
+      "the new host list is active",
       async () => (await bench.getStatus()).hostListRevision > hostListRevision,
     );
     const runs = bench.engines.flatMap((engine) => engine.history).length;
@@ -217,11 +220,11 @@
 );
 
 platform(
-  "host list: an upstream that says itself that it leaves gets no new work",
+  "host list: an upstream that reports that it is leaving gets no new requests",
   async ({ bench }) => {
     await bench.start();
     for (const engine of bench.engines) engine.faults.leaving = true;
-    await bench.waitUntil("new work is refused", async () => {
+    await bench.waitUntil("new requests are refused", async () => {
       const answer = await bench.call();
       return answer.refusal?.outcome === "notRun";
     });
@@ -272,7 +275,7 @@
 }
 
 platform(
-  "weight store: loads in flight stay within the bound",
+  "weight store: loads in flight stay within the limit",
   async (context) => {
     const store = new FakeStore({
       loadsPerSecond: 1_000,
--- a/test/contracts/service_contract_test.ts
+++ b/test/contracts/service_contract_test.ts
@@ -1,4 +1,4 @@
-/** The contract with plain services, and tickets to their end: one row a fault. */
+/** Contract with plain services, and the end of tickets: one row per fault. */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import type { RunFault } from "../../fakes/run_fault.ts";
@@ -24,7 +24,7 @@
   nextRuns: RunFault[];
   cutAnswers?: number;
   runTimeMs?: number;
-  /** Expected of the idempotent route and of the one that needs a ticket. */
+  /** Expected results of the idempotent route and of the one that requires a ticket. */
   balance: { status: number; reason?: string; outcome?: string; runs: number };
   unlock: { status: number; reason?: string; outcome?: string; runs: number };
   counter: string;
@@ -78,7 +78,7 @@
     counter: "refused.upstreamRejected",
   },
   {
-    fault: "cut after it ran",
+    fault: "connection closed after the run",
     nextRuns: [],
     cutAnswers: 1,
     balance: {
@@ -96,7 +96,7 @@
     counter: "",
   },
   {
-    fault: "late beyond the longest run",
+    fault: "response after maxRunMs",
     nextRuns: [],
     runTimeMs: 4_000,
     balance: {
@@ -165,7 +165,7 @@
   }
 }
 
-/** A second call with the ticket runs only if the first did not. */
+/** Checks that a second call with the ticket runs only if the first did not. */
 async function checkSecondCall(
   call: { path: string; body: unknown },
   ticket: string,
@@ -181,7 +181,7 @@
 }
 
 services(
-  "a settled ticket is remembered for its lifetime, then expired",
+  "a settled ticket is stored for its lifetime, then expires",
   async () => {
     const shortLivedBench = new ContractBench({
       engines: 0,
@@ -204,7 +204,7 @@
   },
 );
 
-services("an answer too large to keep is not replayed", async () => {
+services("a response too large to store is not replayed", async () => {
   const body = { note: "x".repeat(MAX_STORED_BODY_BYTES) };
   const call = { path: "/v1/services/unlock", body };
   const ticket = (await bench.call(call)).refusal?.ticket ?? "";
@@ -214,7 +214,7 @@
   assert.is(again.refusal?.outcome, "completed");
 });
 
-services("a service that is down runs nothing", async () => {
+services("a request to a service that is down does not run", async () => {
   await bench.service.stop();
   const answer = await bench.call({ path: "/v1/services/balance", body: {} });
   assert.ok([503, 504].includes(answer.status), answer.text);
--- a/test/daemon/chunk_writer_test.ts
+++ b/test/daemon/chunk_writer_test.ts
@@ -1,4 +1,4 @@
-/** Chunks written in one buffer are read back as they were by HTTP/1.1 and HTTP/1.0 clients, also between the response's own. */
+/** HTTP/1.1 and HTTP/1.0 clients receive the chunks that writeChunk writes unchanged, also between chunks of `response.write`. */
 import { Buffer } from "node:buffer";
 import { createServer, type Server } from "node:http";
 import { connect } from "node:net";
@@ -12,10 +12,10 @@
 const SIZES = [1, 9, 15, 16, 17, 255, 256, 65_536, 300_000];
 let server: Server;
 let port = 0;
-let answer: (response: Response) => void = () => {};
+let respond: (response: Response) => void = () => {};
 
 test.before(async () => {
-  server = createServer((_request, response) => answer(response as Response));
+  server = createServer((_request, response) => respond(response as Response));
   port = await listen(server, "127.0.0.1:0");
 });
 
@@ -28,9 +28,9 @@
   return SIZES.map((size, index) => Buffer.alloc(size, 97 + index));
 }
 
-test("chunks come whole and in order, mixed with the response's own", async () => {
+test("chunks arrive complete and in order, mixed with chunks of response.write", async () => {
   const chunks = createChunks();
-  answer = (response) => {
+  respond = (response) => {
     response.flushHeaders();
     for (const chunk of chunks) {
       writeChunk(response, chunk);
@@ -43,8 +43,8 @@
   assert.is(await response.text(), expected);
 });
 
-test("a chunk before the head goes through the response", async () => {
-  answer = (response) => {
+test("chunks before the headers are written by the response", async () => {
+  respond = (response) => {
     writeChunk(response, Buffer.from("first "));
     writeChunk(response, Buffer.alloc(0));
     writeChunk(response, Buffer.from("second"));
@@ -54,8 +54,8 @@
   assert.is(await response.text(), "first second");
 });
 
-test("HTTP/1.0 gets the bytes without framing", async () => {
-  answer = (response) => {
+test("an HTTP/1.0 client gets the bytes without chunk framing", async () => {
+  respond = (response) => {
     response.flushHeaders();
     writeChunk(response, Buffer.from("plain"));
     response.end();
@@ -72,15 +72,15 @@
 });
 
 test("pipelined requests are answered in order", async () => {
-  let turn = 0;
-  answer = (response) => {
-    turn += 1;
-    const name = `answer ${turn}`;
+  let requestCount = 0;
+  respond = (response) => {
+    requestCount += 1;
+    const name = `answer ${requestCount}`;
     setTimeout(() => {
       response.flushHeaders();
       writeChunk(response, Buffer.from(name));
       response.end();
-    }, turn === 1 ? 50 : 0);
+    }, requestCount === 1 ? 50 : 0);
   };
   const text = await new Promise<string>((resolve, reject) => {
     let received = "";
@@ -98,9 +98,9 @@
   assert.is(text.match(/8\r\nanswer \d\r\n0\r\n\r\n/g)?.length, 2);
 });
 
-test("a reader that takes nothing is seen", async () => {
-  const seen = new Promise<boolean>((resolve) => {
-    answer = (response) => {
+test("a client that does not read is reported as needing a drain", async () => {
+  const isDrainNeeded = new Promise<boolean>((resolve) => {
+    respond = (response) => {
       response.flushHeaders();
       const chunk = Buffer.alloc(1_000_000);
       let writes = 0;
@@ -113,7 +113,7 @@
   socket.pause();
   socket.on("error", () => {});
   socket.write("GET / HTTP/1.1\r\nhost: x\r\n\r\n");
-  assert.ok(await seen);
+  assert.ok(await isDrainNeeded);
   socket.destroy();
 });
 
--- a/test/daemon/daemon_test.ts
+++ b/test/daemon/daemon_test.ts
@@ -1,4 +1,4 @@
-/** The operators' port of a daemon, and its stop. */
+/** The operators' port, the StatsD metrics and the graceful stop of a daemon. */
 import { createSocket } from "node:dgram";
 import { once } from "node:events";
 import { test } from "uvu";
@@ -6,7 +6,7 @@
 import { ContractBench } from "../contracts/contract_bench.ts";
 
 const STOP_TIMEOUT_MS = 200;
-/** Time that a stop may take beyond its timeout: farewells and closing of sockets. */
+/** Time that a stop may take beyond its timeout, for last messages to peers and for closing sockets. */
 const STOP_ALLOWANCE_MS = 3_000;
 
 async function withBench(
@@ -33,7 +33,7 @@
   return { status: response.status, answer: await response.json() };
 }
 
-test("the log level changes at run time, and faulty requests change nothing", async () => {
+test("the log level changes at run time, and invalid requests change nothing", async () => {
   const bench = new ContractBench();
   await withBench(bench, async () => {
     const set = await putLevel(bench, '{"level":"warn"}');
@@ -47,7 +47,7 @@
   });
 });
 
-test("cuts are refused unless the settings allow them", async () => {
+test("simulated partitions are refused unless the settings allow them", async () => {
   const bench = new ContractBench();
   await withBench(bench, async () => {
     const response = await fetch(`http://${bench.operators}/cut`, {
@@ -59,7 +59,7 @@
   });
 });
 
-test("unknown paths and routes of the operators' port are answered as JSON", async () => {
+test("unknown paths and routes of the operators' port get JSON errors", async () => {
   const bench = new ContractBench();
   await withBench(bench, async () => {
     for (const path of ["/other", "/explain/other", "/explain/%E0%A4%A"]) {
@@ -71,7 +71,7 @@
   });
 });
 
-test("gauges and histograms show slots, leases, batch fill, first token and load stall", async () => {
+test("gauges and histograms cover slots, leases, batch fill, first token and load stall", async () => {
   const bench = new ContractBench();
   await withBench(bench, async () => {
     await bench.call();
@@ -112,14 +112,14 @@
   server.close();
 });
 
-test("a stop outlasts a run that does not end by no more than its timeout", async () => {
+test("a stop waits for a run that does not end no longer than its timeout", async () => {
   const bench = new ContractBench({
     route: { maxRunMs: 60_000 },
     settings: { stopTimeoutMs: STOP_TIMEOUT_MS },
   });
   await bench.start();
   bench.engines[0]?.faults.nextRuns.push({ kind: "stall" });
-  const cut = bench.call().catch(() => "cut");
+  const call = bench.call().catch(() => "aborted");
   await bench.waitUntil(
     "the run starts",
     () => bench.engines[0]?.history.length === 1,
@@ -127,7 +127,7 @@
   const startedAt = performance.now();
   await bench.stop();
   const stoppedAfterMs = performance.now() - startedAt;
-  assert.is(await cut, "cut");
+  assert.is(await call, "aborted");
   assert.ok(stoppedAfterMs >= STOP_TIMEOUT_MS);
   assert.ok(stoppedAfterMs < STOP_TIMEOUT_MS + STOP_ALLOWANCE_MS);
 });
--- a/test/daemon/pages_test.ts
+++ b/test/daemon/pages_test.ts
@@ -1,4 +1,4 @@
-/** The pages for operators and callers list every reason and metric of the code, and nothing else. */
+/** The pages for operators and callers list exactly the reasons and metrics that the code has. */
 import { readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { test } from "uvu";
@@ -40,7 +40,7 @@
 ];
 
 for (const [page, heading, reasons] of TABLES) {
-  test(`${heading} are those of the code`, () => {
+  test(`${heading} match the code`, () => {
     const expected = Object.values(reasons).sort();
     assert.equal(listFirstCells(page, heading), expected);
   });
--- a/test/daemon/sse_inspector_test.ts
+++ b/test/daemon/sse_inspector_test.ts
@@ -1,4 +1,4 @@
-/** The inspector lets whole events through, counts them, and knows the end mark however it is cut. */
+/** The inspector returns complete events, counts them and detects `[DONE]`, however the stream is split into chunks. */
 import { Buffer } from "node:buffer";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -8,25 +8,27 @@
   'data: {"model":"a@v1","n":0}\n\ndata: {"n":1}\n\ndata: [DONE]\n\n',
 );
 
-test("every cut into two chunks gives the same events", () => {
-  for (let cut = 0; cut <= STREAM.length; cut += 1) {
+test("every split into two chunks gives the same events", () => {
+  for (let splitAt = 0; splitAt <= STREAM.length; splitAt += 1) {
     const inspector = new SseInspector();
-    const out: Buffer[] = [];
-    for (const chunk of [STREAM.subarray(0, cut), STREAM.subarray(cut)]) {
-      const whole = chunk.length > 0 ? inspector.push(chunk) : undefined;
-      if (whole) {
-        assert.is(whole.subarray(-2).toString(), "\n\n");
-        out.push(Buffer.from(whole));
+    const output: Buffer[] = [];
+    for (
+      const chunk of [STREAM.subarray(0, splitAt), STREAM.subarray(splitAt)]
+    ) {
+      const events = chunk.length > 0 ? inspector.push(chunk) : undefined;
+      if (events) {
+        assert.is(events.subarray(-2).toString(), "\n\n");
+        output.push(Buffer.from(events));
       }
     }
-    assert.is(Buffer.concat(out).toString(), STREAM.toString());
+    assert.is(Buffer.concat(output).toString(), STREAM.toString());
     assert.is(inspector.eventCount, 3);
     assert.is(inspector.model, "a@v1");
     assert.ok(inspector.isComplete());
   }
 });
 
-test("byte by byte gives the same events", () => {
+test("a stream read byte by byte gives the same events", () => {
   const inspector = new SseInspector();
   let text = "";
   for (const byte of STREAM) {
@@ -36,7 +38,7 @@
   assert.is(inspector.eventCount, 3);
 });
 
-test("a part of an event is held back, and dropped where a connection was cut", () => {
+test("a partial event is buffered, and discarded when the connection is lost", () => {
   const inspector = new SseInspector();
   inspector.push(Buffer.from('data: {"model":"a@v1"}\n\ndata: {"n"'));
   assert.is(inspector.eventCount, 1);
@@ -46,14 +48,14 @@
   assert.ok(inspector.isComplete());
 });
 
-test("a stream without its end mark is not complete", () => {
+test("a stream without [DONE] is not complete", () => {
   const inspector = new SseInspector();
   inspector.push(Buffer.from('data: {"model":"a@v1"}\n\ndata: [DONE'));
   assert.is(inspector.finish(), undefined);
   assert.not.ok(inspector.isComplete());
 });
 
-test("an end mark without its blank line is taken at the end", () => {
+test("a [DONE] without its blank line is accepted at the end of the stream", () => {
   const inspector = new SseInspector();
   inspector.push(Buffer.from('data: {"model":"a@v1"}\n\ndata: [DONE]\n'));
   assert.not.ok(inspector.isComplete());
@@ -61,7 +63,7 @@
   assert.ok(inspector.isComplete());
 });
 
-test("an endless event is refused", () => {
+test("an event over the size limit is rejected", () => {
   const inspector = new SseInspector();
   assert.throws(() => inspector.push(Buffer.alloc(1_100_000, "x")), /at most/);
 });
--- a/test/daemon/upstream_task_test.ts
+++ b/test/daemon/upstream_task_test.ts
@@ -1,3 +1,4 @@
+/** A cancelled attempt counts as ended only if the upstream confirms it: after a 404, the run may still start. */
 import { Buffer } from "node:buffer";
 import { createServer, type Server } from "node:http";
 import type { AddressInfo } from "node:net";
@@ -14,7 +15,7 @@
 
 const ROUTE = { name: "briefing", priority: "standard" } as RouteStructure;
 
-/** Starts an engine that never answers a run and knows of none to cancel. */
+/** Starts an engine that never responds to a run, and to a cancellation with the given status. */
 function startUnresponsiveEngine(cancelStatus: number): Promise<Server> {
   const server = createServer((request, response) => {
     request.resume();
@@ -49,7 +50,7 @@
     { status: 404, result: "lost" },
   ]
 ) {
-  test(`a cancellation answered with ${status} before any answer leaves the attempt ${result}`, async () => {
+  test(`a cancellation that gets ${status} before any response of the run ends the attempt as ${result}`, async () => {
     const server = await startUnresponsiveEngine(status);
     const bus = createBus();
     const exchanges = new ExchangeRegistry();
