--- a/src/core/control_plane.ts
+++ b/src/core/control_plane.ts
@@ -1,6 +1,6 @@
 /**
- * What a daemon does beside serving requests: keeps up with its peers, the
- * tables and the host list, and decides whether it reads the platform itself.
+ * Control plane of one daemon: membership, distribution of the tables and the
+ * host list, and the choice whether this daemon polls the platform itself.
  */
 import type { CoreSettings } from "./core_settings.ts";
 import type { Effect } from "./effects.ts";
@@ -39,15 +39,24 @@
     evictions: readonly EvictionDigest[],
     now: Milliseconds,
   ) => void;
-  /** Called after newer tables or a newer host list came into force. */
+  /** Called after newer tables or a newer host list became current. */
   handleTablesChanged: (now: Milliseconds) => void;
 }
 
-/** Daemons of other failure domains that a starting daemon asks for tables. */
+/**
+ * Number of daemons in other failure domains that a starting daemon asks for
+ * tables.
+ */
 const STARTUP_REMOTE_PEERS = 3;
-/** Start graces for which daemons that are not heard of yet are left to read the platform. */
+/**
+ * Start grace periods during which daemons that have not been heard of yet
+ * still count as candidates for reading the platform.
+ */
 const UNKNOWN_PEER_GRACE_PERIODS = 2;
-/** Start graces after which a daemon serves although a peer holds newer tables. */
+/**
+ * Start grace periods after which a daemon serves with the tables that it has,
+ * even if a peer has announced newer ones.
+ */
 const MAX_START_GRACE_PERIODS = 5;
 
 export class ControlPlane {
@@ -55,7 +64,7 @@
   readonly #protocol: PeerProtocol;
   readonly #exchange: TableExchange;
   readonly #platformReaders: PlatformReaderElection;
-  /** Start of this process, or the end of its last pause. */
+  /** When this process started, or resumed after its last pause. */
   #startedAt: Milliseconds;
   #hasTriedPlatform = false;
   #isReading: boolean | undefined;
@@ -94,7 +103,11 @@
     });
   }
 
-  /** Returns whether peers have had the time to make themselves heard. */
+  /**
+   * Returns whether the view of the peers is complete enough to assign upstreams
+   * to owners: the start grace period is over, or every peer of this failure
+   * domain is known.
+   */
   hasConverged(now: Milliseconds): boolean {
     const { settings, membership } = this.#options;
     if (now - this.#startedAt >= settings.startGraceMs) return true;
@@ -102,7 +115,11 @@
       this.#protocol.hasJoined() && membership.isEveryDomainPeerKnown();
   }
 
-  /** Returns whether the tables in force may be served: the platform or a peer was asked for newer ones. */
+  /**
+   * Returns whether requests may be served with the current tables: the platform
+   * or a peer was asked for newer ones, and none that a peer announced is
+   * missing. After `MAX_START_GRACE_PERIODS`, missing ones are not waited for.
+   */
   isReadyToServe(now: Milliseconds): boolean {
     const { tables, settings } = this.#options;
     if (!tables.getSnapshot() || !this.hasConverged(now)) return false;
@@ -115,25 +132,25 @@
     return hasCheckedForUpdates && (hasTimedOut || isUpToDate);
   }
 
-  /** Takes the tables as the platform publishes them. */
+  /** Handles the full tables as published by the platform. */
   offerTables(tables: TablesStructure, now: Milliseconds): void {
     this.#hasTriedPlatform = true;
     this.#platformReaders.recordReadResult(true, now);
     this.#exchange.offerTables(tables, now);
   }
 
-  /** Takes what the platform changed in the tables in force. */
+  /** Handles a delta of the current tables as published by the platform. */
   offerPublishedDelta(delta: TablesDelta, now: Milliseconds): void {
     this.recordPlatformReached(now);
     this.#exchange.offerPublishedDelta(delta, now);
   }
 
-  /** Takes the host list as the platform publishes it. */
+  /** Handles the host list as published by the platform. */
   offerHostList(hostList: HostListStructure, now: Milliseconds): void {
     this.#exchange.offerHostList(hostList, now);
   }
 
-  /** Records that the platform was read and has nothing newer. */
+  /** Records that the platform was read and has no newer revision. */
   recordPlatformReached(now: Milliseconds): void {
     this.#hasTriedPlatform = true;
     this.#platformReaders.recordReadResult(true, now);
@@ -144,33 +161,39 @@
     this.#platformReaders.recordReadResult(false, now);
   }
 
-  /** Publishes what this daemon, as the owner, knows of the upstream. */
+  /** Publishes the state of an upstream that this daemon owns. */
   publishUpstream(digest: UpstreamDigest, now: Milliseconds): void {
     this.#protocol.publishUpstream(digest, now);
   }
 
-  /** Publishes that this daemon owns the upstream no longer. */
+  /** Publishes that this daemon no longer owns the upstream. */
   removeUpstream(upstreamId: string): void {
     this.#protocol.removeUpstream(upstreamId);
   }
 
-  /** Tells peers at once of requests that have crashed an upstream. */
+  /**
+   * Publishes requests that have crashed an upstream, without waiting for the
+   * next round.
+   */
   publishStrikes(now: Milliseconds): void {
     this.#protocol.publishStrikes(now);
   }
 
-  /** Tells peers what this daemon has evicted. */
+  /** Publishes the adapters that this daemon has evicted. */
   publishEvictions(evictions: readonly EvictionDigest[]): void {
     this.#protocol.publishEvictions(evictions);
   }
 
-  /** Tells the failure domain at once that this daemon is leaving. */
+  /**
+   * Announces to the failure domain, without delay, that this daemon is
+   * leaving.
+   */
   publishLeaving(now: Milliseconds): void {
     this.#options.membership.markSelfLeaving();
     this.#protocol.publishLeaving(now);
   }
 
-  /** Publishes at once what has changed, before this daemon stops. */
+  /** Publishes pending changes without delay, before this daemon stops. */
   flush(now: Milliseconds): void {
     this.#protocol.flush(now);
   }
@@ -182,7 +205,10 @@
     this.#exchange.tick(now);
   }
 
-  /** Takes everything about peers for expired, after a pause of this process. */
+  /**
+   * Discards all state about peers, which is outdated after a pause of this
+   * process.
+   */
   expireAll(now: Milliseconds): void {
     this.#startedAt = now;
     this.#protocol.expireAll();
@@ -253,7 +279,10 @@
       : RevisionSource.Outside;
   }
 
-  /** Asks a few other failure domains once, so that a domain that starts as a whole hears of newer tables. */
+  /**
+   * Asks daemons of other failure domains for newer tables, once. When a whole
+   * failure domain starts, none of its daemons has any to offer.
+   */
   #requestFromRemotePeers(now: Milliseconds): void {
     if (this.#hasQueriedRemotePeers) return;
     this.#hasQueriedRemotePeers = true;
@@ -266,7 +295,9 @@
     }
   }
 
-  /** Tells the platform task to begin or end reading when that changes. */
+  /**
+   * Tells the platform task to start or stop reading when the decision changes.
+   */
   #updatePlatformReading(now: Milliseconds): void {
     const { membership, settings, emit } = this.#options;
     const isAwaitingPeers = !this.#protocol.hasJoined() &&
--- a/src/core/core_policy.ts
+++ b/src/core/core_policy.ts
@@ -1,6 +1,6 @@
 /**
- * The choices of the core that benches replace as a whole, to compare them
- * under the same requests, faults and admission.
+ * Policy decisions of the core. Benchmarks replace them as a set, to compare
+ * policies under the same requests, faults and admission control.
  */
 import type { AdapterPopularity } from "./residency/adapter_popularity.ts";
 import type { Slot } from "./residency/slot_table.ts";
@@ -18,9 +18,15 @@
     candidates: readonly UpstreamCandidate[],
     options: RankOptions,
   ): RankedUpstream[];
-  /** Whether owners send requests on to an upstream that has their adapter. */
+  /**
+   * Whether owners redirect requests to another upstream where the adapter is
+   * resident.
+   */
   redirects: boolean;
-  /** Returns the worth of keeping a resident adapter; the least is evicted first. */
+  /**
+   * Returns the value of keeping an adapter resident; the adapter with the
+   * lowest value is evicted first.
+   */
   computeRetentionValue(
     slot: Slot,
     popularity: AdapterPopularity,
@@ -28,7 +34,7 @@
   ): number;
 }
 
-/** The policy that daemons run. */
+/** Policy that daemons use in production. */
 export const DEFAULT_CORE_POLICY: CorePolicy = {
   rankUpstreams,
   redirects: true,
--- a/src/core/core_settings.ts
+++ b/src/core/core_settings.ts
@@ -1,54 +1,78 @@
-/** Settings of the core, all with defaults, checked by `src/settings`. */
+/** Settings of the core. Each has a default; `src/settings` validates them. */
 import type { Milliseconds } from "./structures.ts";
 
 export interface CoreSettings {
   /** Time between heartbeats to a peer. */
   heartbeatIntervalMs: Milliseconds;
-  /** Silence after which a peer is taken for dead. */
+  /** Time without any message from a peer after which it is considered dead. */
   peerTimeoutMs: Milliseconds;
-  /** Time after the start during which nothing is owned, unless all peers have been heard. */
+  /**
+   * Time after the start during which a daemon owns no upstream, unless it has
+   * heard from all peers.
+   */
   startGraceMs: Milliseconds;
-  /** Gap between events after which everything believed before is treated as expired. */
+  /**
+   * Gap between two events after which the process counts as having been
+   * paused, so that leases, ownership and peer state are treated as expired.
+   */
   pauseThresholdMs: Milliseconds;
-  /** Dispatch window of a lease. */
+  /**
+   * Dispatch window of a lease: time during which its holder may start runs
+   * under it.
+   */
   leaseWindowMs: Milliseconds;
-  /** Allowance for clock drift between holder and owner. */
+  /**
+   * Allowance for clock drift between a lease's holder and the upstream's
+   * owner.
+   */
   leaseMarginMs: Milliseconds;
-  /** Time that a holder keeps an unused credit. */
+  /** Time after which a lease's holder returns an unused credit. */
   leaseIdleMs: Milliseconds;
-  /** Credits that a holder asks for at once. */
+  /** Maximum number of credits in one lease request. */
   maxLeaseCredits: number;
-  /** Time after which an unanswered lease request is sent again. */
+  /** Time after which an unanswered lease request is retried. */
   leaseReplyTimeoutMs: Milliseconds;
-  /** Time between readings of an owned upstream's state. */
+  /** Polling interval for the state of an owned upstream. */
   stateReadIntervalMs: Milliseconds;
-  /** Age of the last reading beyond which an owner grants nothing. */
+  /**
+   * Maximum age of an upstream's last state reading for its owner to grant
+   * leases.
+   */
   ownershipValidityMs: Milliseconds;
-  /** Lag of the in-flight counts that engines report. */
+  /** Maximum lag of the in-flight counts that engines report. */
   engineReportLagMs: Milliseconds;
-  /** Attempts of one request, the first included. */
+  /** Maximum number of attempts per request, including the first. */
   maxAttempts: number;
-  /** Upstreams that one request may crash before it is refused. */
+  /** Number of upstreams that a request may crash before it is refused. */
   maxStrikes: number;
   strikeLifetimeMs: Milliseconds;
-  /** Requests that a daemon holds at once. */
+  /** Maximum number of requests in progress at one daemon. */
   maxRequests: number;
-  /** Lease requests that an owner queues for one upstream. */
+  /** Maximum number of lease requests that an owner queues per upstream. */
   maxQueuedLeaseRequests: number;
-  /** Time that the home remembers a settled ticket. */
+  /**
+   * Time for which the daemon that issued a ticket remembers it after
+   * settlement.
+   */
   ticketLifetimeMs: Milliseconds;
   maxTickets: number;
-  /** Loads that the weight store starts a second, for the whole system. */
+  /**
+   * Number of fetches from the weight store that may start per second, across
+   * the whole system.
+   */
   storeLoadsPerSecond: number;
-  /** Loads in flight at the weight store, for the whole system. */
+  /**
+   * Maximum number of fetches in flight at the weight store, across the whole
+   * system.
+   */
   storeLoadsInFlight: number;
-  /** Time of one undisturbed load. */
+  /** Duration of a load without contention. */
   loadTimeMs: Milliseconds;
-  /** Retries as a share of first attempts. */
+  /** Retry budget, as a ratio of retries to first attempts. */
   retryRatio: number;
 }
 
-/** Defaults; every key may be set in the daemon's settings file. */
+/** Defaults. Each key can be overridden in the daemon's settings file. */
 export const DEFAULT_CORE_SETTINGS: CoreSettings = {
   heartbeatIntervalMs: 300,
   peerTimeoutMs: 1_500,
--- a/src/core/daemon_core.ts
+++ b/src/core/daemon_core.ts
@@ -1,7 +1,7 @@
 /**
- * The decisions of one daemon, without input or output: events go in with the
- * present time, effects come out. The daemon, the fuzzer and the benches drive
- * the same class.
+ * Decision logic of one daemon, free of I/O: it is called with events and the
+ * current time, and returns effects. The daemon, the fuzzer and the benchmarks
+ * all drive this class.
  */
 import {
   daemonChart,
@@ -30,19 +30,22 @@
 
 export interface DaemonCoreOptions {
   selfId: string;
-  /** Differs in each start of the process. */
+  /** Unique to each start of the process. */
   incarnation: string;
   failureDomain: string;
   settings: CoreSettings;
-  /** Hosts known from the settings, until the platform or a peer names more. */
+  /**
+   * Hosts from the settings, used until the platform or a peer provides a host
+   * list.
+   */
   seedHosts: HostStructure[];
-  /** Replaces the daemon's own policy, in comparisons. */
+  /** Replaces the default policy, to compare policies. */
   policy?: CorePolicy;
-  /** Random bytes for the check codes of tickets. */
+  /** Random secret for the check codes of tickets. */
   ticketSecret: Uint8Array;
 }
 
-/** A daemon as operators see it. */
+/** State of a daemon as shown to operators. */
 export interface DaemonDescription {
   id: string;
   incarnation: string;
@@ -57,7 +60,10 @@
   storeLoadsInFlight: number;
 }
 
-/** Ticket claims older than the longest run and queue are taken for lost. */
+/**
+ * Ticket claims older than the longest possible queueing and run time are
+ * considered lost.
+ */
 const CLAIM_TIMEOUT_MS = 1_200_000;
 
 export class DaemonCore {
@@ -155,12 +161,14 @@
     return this.#tables.getSnapshot();
   }
 
-  /** Returns the address of a peer, for the effects that send to it. */
+  /** Returns the address of a peer, to carry out `send` effects. */
   getPeerAddress(id: string): string | undefined {
     return this.#membership.getEntryHost(id)?.address;
   }
 
-  /** Takes an event at the present time and returns what is to be done. */
+  /**
+   * Handles an event at the given time and returns the effects to carry out.
+   */
   handle(event: CoreEvent, now: Milliseconds): Effect[] {
     const hasPaused =
       now - this.#lastEventAt > this.#options.settings.pauseThresholdMs;
@@ -186,12 +194,14 @@
     };
   }
 
-  /** Returns the daemon that owns the upstream as seen from here, or undefined. */
+  /**
+   * Returns the owner of the upstream as known to this daemon, or undefined.
+   */
   getOwnerId(upstreamId: string): string | undefined {
     return this.#membership.getOwnerId(upstreamId);
   }
 
-  /** Returns how the upstreams rank for a route now, best first. */
+  /** Returns the current ranking of the upstreams for a route, best first. */
   explainRoute(routeName: string, now: Milliseconds): RankedUpstream[] {
     const route = this.#tables.getSnapshot()?.getRouteByName(routeName);
     return route ? this.#executor.explainRoute(route, now) : [];
@@ -201,7 +211,10 @@
     this.#effects.push(effect);
   };
 
-  /** Delivers messages to this daemon itself; returns the other effects. */
+  /**
+   * Delivers messages that this daemon sends to itself; returns all other
+   * effects.
+   */
   #takeEffects(now: Milliseconds): Effect[] {
     const external: Effect[] = [];
     for (
@@ -367,7 +380,10 @@
     }
   }
 
-  /** Returns whether a stop now would cut off nothing, here or under a ticket of this daemon. */
+  /**
+   * Returns whether no request is in progress here, nor elsewhere under a
+   * ticket that this daemon issued.
+   */
   #isDrained(now: Milliseconds): boolean {
     if (!this.#executor.isDrained()) return false;
     const routes = this.#tables.getSnapshot()?.getRoutes() ?? [];
@@ -393,7 +409,9 @@
     this.#controlPlane.flush(now);
   }
 
-  /** After a pause, takes leases, ownership and views of peers for expired. */
+  /**
+   * Expires leases, ownership and peer state, which are outdated after a pause.
+   */
   #expireAfterPause(now: Milliseconds): void {
     this.#emit({ kind: "count", counter: "pause_detected", tag: "" });
     this.#ownership.expireAll(now);
--- a/src/core/decay.ts
+++ b/src/core/decay.ts
@@ -1,7 +1,7 @@
-/** Counts in which what is recent weighs more. */
+/** Exponential decay for counts that weigh recent events more. */
 import type { Milliseconds } from "./structures.ts";
 
-/** Returns the part of a count that is left after some time, given the time in which it halves. */
+/** Returns the fraction of a count that remains after the elapsed time. */
 export function computeDecayFactor(
   elapsedMs: Milliseconds,
   halfLifeMs: Milliseconds,
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,9 +1,9 @@
-/** Effects that the core asks its daemon to carry out. */
+/** Effects that the core returns for the daemon to carry out. */
 import type { PeerMessage, StoredAnswerStructure } from "./messages.ts";
 import type { Outcome, RefusalReason } from "./outcomes.ts";
 import type { Milliseconds, PoolKind, RouteStructure } from "./structures.ts";
 
-/** An order that changes an upstream. */
+/** A command that changes the state of an upstream. */
 export type UpstreamOrder =
   | { kind: "claim" }
   | { kind: "load"; adapterKey: string }
@@ -16,14 +16,14 @@
   upstreamId: string;
   upstreamKind: PoolKind;
   address: string;
-  /** Incarnation of the upstream when the run was permitted. */
+  /** Incarnation of the upstream at the time the lease was granted. */
   upstreamIncarnation: string;
   /** `adapter@version` for engines, route name for plain services. */
   model: string;
   route: RouteStructure;
   tablesRevision: number;
   timeoutMs: Milliseconds;
-  /** The dispatch must not start after this time. */
+  /** Latest time at which the dispatch may start. */
   dispatchUntil: Milliseconds;
 }
 
@@ -32,11 +32,15 @@
   requestId: string;
   reason: RefusalReason;
   outcome: Outcome;
-  /** Whether the request had waited, or would have had to wait, for a load. */
+  /**
+   * Whether the request waited, or would have had to wait, for an adapter load.
+   */
   hasStalled: boolean;
-  /** When to come back; undefined where coming back does not help. */
+  /**
+   * Time after which a retry may succeed; undefined if a retry does not help.
+   */
   retryAfterMs?: Milliseconds;
-  /** A fresh ticket, with `ticketRequired`. */
+  /** A new ticket, set with the reason `ticketRequired`. */
   ticket?: string;
 }
 
@@ -54,7 +58,7 @@
     address: string;
     fencing: number;
     order: UpstreamOrder;
-    /** The order must not be sent after this time. */
+    /** Latest time at which the order may be sent. */
     sendUntil: Milliseconds;
   }
   | {
@@ -66,6 +70,6 @@
   }
   | { kind: "count"; counter: string; tag: string }
   | { kind: "measure"; histogram: string; valueMs: Milliseconds }
-  /** Begins or ends following the configuration service and the host list. */
+  /** Starts or stops watching the configuration service and the host list. */
   | { kind: "readPlatform"; isReading: boolean }
   | { kind: "stopCompleted" };
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -1,4 +1,7 @@
-/** Events that drive the core. Each is plain data; the time is a separate argument. */
+/**
+ * Events that drive the core. They are plain data; the time is passed
+ * separately.
+ */
 import type {
   PeerMessage,
   StoredAnswerStructure,
@@ -11,7 +14,7 @@
   UpstreamStateStructure,
 } from "./structures.ts";
 
-/** A caller's request, authenticated and parsed. */
+/** A caller's request, after authentication and parsing. */
 export interface RequestArrivedEvent {
   kind: "requestArrived";
   requestId: string;
@@ -23,12 +26,12 @@
   ticket?: string;
 }
 
-/** How an order to an upstream ended. */
+/** Result of an order to an upstream. */
 export type OrderResult =
   | { kind: "done" }
   | { kind: "refusedByFencing"; fencing: number }
   | { kind: "failed"; detail: string }
-  /** No answer: the order may have been carried out. */
+  /** No response: the order may or may not have been carried out. */
   | { kind: "unknown"; detail: string };
 
 export type CoreEvent =
@@ -38,7 +41,10 @@
     kind: "attemptEnded";
     attemptId: string;
     result: AttemptResult;
-    /** Answer to keep for the request's ticket; undefined for idempotent routes. */
+    /**
+     * Response to store for the request's ticket; undefined for idempotent
+     * routes.
+     */
     answer?: StoredAnswerStructure;
   }
   | { kind: "peerMessage"; from: string; message: PeerMessage }
@@ -52,15 +58,21 @@
     kind: "upstreamStateUnread";
     upstreamId: string;
     readId: string;
-    /** Whether the connection was refused, so that no process listens. */
+    /**
+     * Whether the connection was refused, which means that no process is
+     * listening.
+     */
     isConnectionRefused: boolean;
   }
   | { kind: "orderEnded"; orderId: string; result: OrderResult }
   | { kind: "tablesPublished"; tables: TablesStructure }
-  /** Rows that the platform changed since the revision in force; the digest is left empty. */
+  /**
+   * Rows that the platform changed since the current revision; the digest is
+   * empty.
+   */
   | { kind: "tablesDeltaPublished"; delta: TablesDelta }
   | { kind: "hostListPublished"; hostList: HostListStructure }
-  /** The platform answered and has nothing newer. */
+  /** The platform responded and has no newer revision. */
   | { kind: "platformReached" }
   | { kind: "platformUnreachable" }
   | { kind: "tick" }
--- a/src/core/hashing.ts
+++ b/src/core/hashing.ts
@@ -1,14 +1,16 @@
-/** Rendezvous hashing and stable short hashes over xxHash. */
+/** Stable 32-bit hashes (xxHash) and rendezvous hashing. */
 import xxhash from "xxhash-wasm";
 
 const { h32 } = await xxhash();
 
-/** Returns an unsigned 32-bit hash of the text. */
+/** Returns the unsigned 32-bit xxHash of the text. */
 export function hashText(text: string, seed = 0): number {
   return h32(text, seed);
 }
 
-/** Returns the candidates ordered by descending rendezvous weight for the key. */
+/**
+ * Returns the candidates sorted by descending rendezvous weight for the key.
+ */
 export function rankByRendezvous<T extends { id: string }>(
   key: string,
   candidates: readonly T[],
@@ -24,7 +26,10 @@
     .map((entry) => entry.candidate);
 }
 
-/** Returns the candidate with the highest rendezvous weight, or undefined when there is none. */
+/**
+ * Returns the candidate with the highest rendezvous weight, or undefined when
+ * there is none.
+ */
 export function findRendezvousWinner<T extends { id: string }>(
   key: string,
   candidates: Iterable<T>,
--- a/src/core/id_generator.ts
+++ b/src/core/id_generator.ts
@@ -1,4 +1,4 @@
-/** Gives out identifiers that no other daemon or incarnation makes. */
+/** Generates identifiers that are unique across daemons and incarnations. */
 export class IdGenerator {
   readonly #scope: string;
   #lastId = 0;
--- a/src/core/outcomes.ts
+++ b/src/core/outcomes.ts
@@ -1,23 +1,28 @@
-/** Closed sets of request outcomes and of refusal and retry reasons. */
+/** Enumerations of request outcomes and of refusal and retry reasons. */
 
-/** What is known of a request's execution when its final answer is given. */
+/**
+ * What is known about a request's execution when the final response is sent.
+ */
 export const Outcome = {
   Completed: "completed",
-  /** The request did not run and may be sent again. */
+  /** The request did not run and is safe to retry. */
   NotRun: "notRun",
-  /** The request may have run, whole or in part. */
+  /** The request may have run, completely or partially. */
   MayHaveRun: "mayHaveRun",
   /** The request ran and failed. */
   Failed: "failed",
 } as const;
 export type Outcome = (typeof Outcome)[keyof typeof Outcome];
 
-/** Returns the outcome of a call refused before its ticket was claimed: an earlier call with the ticket may have run. */
+/**
+ * Returns the outcome of a call that is refused before its ticket is claimed. An
+ * earlier call with the same ticket may have run.
+ */
 export function getUnclaimedOutcome(ticket: string | undefined): Outcome {
   return ticket === undefined ? Outcome.NotRun : Outcome.MayHaveRun;
 }
 
-/** Why a request was refused or broken off. */
+/** Why a request was refused or aborted. */
 export const RefusalReason = {
   UnknownRoute: "unknownRoute",
   Unauthenticated: "unauthenticated",
@@ -48,7 +53,7 @@
 } as const;
 export type RefusalReason = (typeof RefusalReason)[keyof typeof RefusalReason];
 
-/** Why an attempt was followed by another. */
+/** Why a request was retried with another attempt. */
 export const RetryReason = {
   LeaseRefused: "leaseRefused",
   LeaseUnanswered: "leaseUnanswered",
@@ -70,7 +75,7 @@
   UpstreamDown: "upstreamDown",
   DeadlineUnreachable: "deadlineUnreachable",
   LoadFailed: "loadFailed",
-  /** Another upstream has the adapter or is about to load it. */
+  /** The adapter is resident, or about to be loaded, on another upstream. */
   Redirected: "redirected",
   QueueFull: "queueFull",
   Stopping: "stopping",
@@ -78,22 +83,31 @@
 export type LeaseRefusalReason =
   (typeof LeaseRefusalReason)[keyof typeof LeaseRefusalReason];
 
-/** How an attempt on an upstream ended, as the upstream task saw it. */
+/** Result of an attempt on an upstream, as observed by the upstream task. */
 export type AttemptResult =
   | { kind: "completed"; servedModel: string }
-  /** No byte of the request reached a socket. */
+  /** No byte of the request was written to a socket. */
   | { kind: "notSent"; detail: string }
-  /** The upstream answered that it did not start the request. */
+  /** The upstream responded that it did not start the request. */
   | { kind: "refused"; status: number; detail: string }
-  /** The upstream answered that the request is at fault; it will not run anywhere. */
+  /**
+   * The upstream responded that the request is invalid; a retry elsewhere would
+   * fail as well.
+   */
   | { kind: "rejected"; status: number; detail: string }
-  /** The upstream ran the request and answered with an error. */
+  /** The upstream ran the request and responded with an error. */
   | { kind: "failed"; status: number; detail: string }
-  /** The connection ended, or timed out, before the answer was whole. */
+  /** The connection closed, or timed out, before the response was complete. */
   | { kind: "lost"; detail: string; bytesForwarded: number }
-  /** The answer named another adapter or version; none of it was forwarded. */
+  /**
+   * The response came from another adapter or version; none of it was
+   * forwarded.
+   */
   | { kind: "wrongAdapter"; servedModel: string }
-  /** The run reached its longest time and was cancelled. */
+  /** The run reached its maximum duration and was cancelled. */
   | { kind: "timedOut" }
-  /** Cancelled by us; the upstream has confirmed that the run is over. */
+  /**
+   * The daemon cancelled the attempt, and the upstream confirmed that the run
+   * has ended.
+   */
   | { kind: "cancelled" };
--- a/src/core/structures.ts
+++ b/src/core/structures.ts
@@ -1,6 +1,11 @@
-/** Plain-data structures shared by every part of the core: tables, hosts and engine state. */
+/**
+ * Plain data types shared by all parts of the core: tables, hosts and upstream
+ * state.
+ */
 
-/** A point on, or a span of, the daemon's monotonic clock, in milliseconds. */
+/**
+ * A time of, or a duration on, the daemon's monotonic clock, in milliseconds.
+ */
 export type Milliseconds = number;
 
 /** Scheduling class of a route, most urgent first. */
@@ -11,7 +16,10 @@
 } as const;
 export type Priority = (typeof Priority)[keyof typeof Priority];
 
-/** Returns 0 for the most urgent priority and larger numbers for less urgent ones. */
+/**
+ * Returns 0 for the most urgent priority and higher numbers for less urgent
+ * ones.
+ */
 export function getPriorityRank(priority: Priority): number {
   switch (priority) {
     case Priority.Interactive:
@@ -23,15 +31,21 @@
   }
 }
 
-/** Kind of the upstreams that a pool selects. */
+/** Kind of the upstreams in a pool. */
 export const PoolKind = { Engine: "engine", Service: "service" } as const;
 export type PoolKind = (typeof PoolKind)[keyof typeof PoolKind];
 
-/** Whether the upstreams of a pool refuse orders that carry an old fencing number. */
+/**
+ * Whether the upstreams of a pool refuse orders with an outdated fencing
+ * number.
+ */
 export const Fencing = { Checked: "checked", Ignored: "ignored" } as const;
 export type Fencing = (typeof Fencing)[keyof typeof Fencing];
 
-/** One row of the routes table: which adapter and version answers a customer's requests. */
+/**
+ * One row of the routes table: the adapter and version that serve a customer's
+ * requests.
+ */
 export interface RouteStructure {
   name: string;
   customer: string;
@@ -42,9 +56,12 @@
   version: string;
   idempotent: boolean;
   priority: Priority;
-  /** Longest time from acceptance to the start of the run. */
+  /** Maximum time from acceptance to the start of the run. */
   queueDeadlineMs: Milliseconds;
-  /** Longest run on an upstream; the run is cancelled there at its end. */
+  /**
+   * Maximum duration of a run; the run is cancelled on the upstream when it is
+   * exceeded.
+   */
   maxRunMs: Milliseconds;
 }
 
@@ -53,30 +70,33 @@
   name: string;
   /** Lowercase hexadecimal SHA-256 digests of the bearer tokens. */
   tokenDigests: string[];
-  /** Weight in the division of a saturated pool. */
+  /** Weight for fair sharing of a saturated pool. */
   share: number;
 }
 
-/** One row of the pools table: which upstreams stand ready. */
+/** One row of the pools table: a set of interchangeable upstreams. */
 export interface PoolStructure {
   name: string;
   kind: PoolKind;
-  /** Service name that the host list gives for the upstreams. */
+  /** Service name of the upstreams in the host list. */
   service: string;
   baseModel: string;
   failureDomains: string[];
   /** Adapter slots of one upstream; 0 for plain services. */
   slots: number;
-  /** Requests that one upstream runs at once. */
+  /** Requests that one upstream runs concurrently. */
   batchSize: number;
   fencing: Fencing;
-  /** Relative weight of avoiding load stalls. */
+  /**
+   * Relative weight of avoiding waits for adapter loads when upstreams are
+   * ranked.
+   */
   loadStallWeight: number;
-  /** Relative weight of filling batches. */
+  /** Relative weight of filling batches when upstreams are ranked. */
   batchEfficiencyWeight: number;
 }
 
-/** Both tables at one revision. */
+/** Customers, routes and pools at one revision. */
 export interface TablesStructure {
   revision: number;
   customers: CustomerStructure[];
@@ -88,14 +108,17 @@
 export const HostRole = { Entry: "entry", Upstream: "upstream" } as const;
 export type HostRole = (typeof HostRole)[keyof typeof HostRole];
 
-/** State of a host as the platform reports it, with a lag. */
+/** State of a host as reported by the platform, with a delay. */
 export const HostState = { Live: "live", Leaving: "leaving" } as const;
 export type HostState = (typeof HostState)[keyof typeof HostState];
 
 /** One row of the host list. */
 export interface HostStructure {
   id: string;
-  /** Peer address of an entry host, HTTP address of an upstream: `IP:port`. */
+  /**
+   * `IP:port`: the peer address of an entry host, or the HTTP address of an
+   * upstream.
+   */
   address: string;
   failureDomain: string;
   role: HostRole;
@@ -110,19 +133,24 @@
   hosts: HostStructure[];
 }
 
-/** What an upstream reports of itself. */
+/** State that an upstream reports about itself. */
 export interface UpstreamStateStructure {
-  /** Changes each time the upstream restarts. */
+  /** Changes with each restart of the upstream. */
   incarnation: string;
-  /** Highest fencing number accepted; 0 where fencing is ignored. */
+  /**
+   * Highest fencing number accepted so far; 0 if the upstream ignores fencing.
+   */
   fencing: number;
   leaving: boolean;
-  /** Resident adapters as `adapter@version`, with the requests running on each, reported with a lag. */
+  /**
+   * Resident adapters as `adapter@version`, with the number of requests running
+   * on each. The counts lag behind.
+   */
   residents: { adapterKey: string; inFlight: number }[];
   running: number;
 }
 
-/** Names an adapter at a version, as engines do. */
+/** Formats the name that engines use for a version of an adapter. */
 export function formatAdapterKey(adapter: string, version: string): string {
   return `${adapter}@${version}`;
 }
--- a/src/core/tables/bucket_map.ts
+++ b/src/core/tables/bucket_map.ts
@@ -1,4 +1,4 @@
-/** An immutable map in buckets, so that a change copies only the buckets that it touches. */
+/** Immutable hash map. An update copies only the buckets that it changes. */
 import { hashText } from "../hashing.ts";
 
 const BUCKET_COUNT = 512;
@@ -40,7 +40,7 @@
     for (const bucket of this.#buckets) yield* bucket;
   }
 
-  /** Returns the map after the changes; this one stays as it is. */
+  /** Returns a new map with the changes applied. */
   apply(
     set: readonly (readonly [string, Value])[],
     removed: readonly string[],
--- a/src/core/tables/chunk_cache.ts
+++ b/src/core/tables/chunk_cache.ts
@@ -1,4 +1,8 @@
-/** Serves revisions in full, chunk by chunk; keeps the one being served although newer ones come into force. */
+/**
+ * Chunks of the revisions that are being transferred in full to peers. A cached
+ * revision is kept when a newer one becomes current, so that transfers in
+ * progress can finish.
+ */
 import {
   ChunkedTable,
   type HostListChunkMessage,
@@ -11,7 +15,7 @@
 
 type TableSection = "customers" | "routes" | "pools" | "hosts";
 
-/** One revision, divided. */
+/** One revision, split into chunks. */
 interface ChunkedRevision {
   revision: number;
   digest: string;
@@ -28,8 +32,8 @@
   }
 
   /**
-   * Returns the chunk, of the revision in force when the one named is no
-   * longer served; undefined when nothing is in force.
+   * Returns a chunk. If the given revision is no longer available, returns the
+   * first chunk of the current revision, or undefined if there is none.
    */
   getChunk(
     table: ChunkedTable,
@@ -65,7 +69,7 @@
     }
   }
 
-  /** Frees the revisions that were divided for transfers. */
+  /** Drops the cached chunks. */
   clear(): void {
     this.#chunkedTables = undefined;
     this.#chunkedHosts = undefined;
@@ -88,9 +92,9 @@
       }
       case ChunkedTable.HostList: {
         const hostList = this.#tables.getHostList();
-        const isServed = this.#chunkedHosts?.revision === revision;
+        const isCached = this.#chunkedHosts?.revision === revision;
         if (
-          !isServed && hostList && this.#isStale(this.#chunkedHosts, hostList)
+          !isCached && hostList && this.#isStale(this.#chunkedHosts, hostList)
         ) {
           this.#chunkedHosts = buildHostChunks(hostList);
         }
@@ -100,10 +104,10 @@
   }
 
   #isStale(
-    divided: ChunkedRevision | undefined,
+    chunked: ChunkedRevision | undefined,
     inForce: { revision: number },
   ): boolean {
-    return divided?.revision !== inForce.revision;
+    return chunked?.revision !== inForce.revision;
   }
 }
 
--- a/src/core/tables/chunk_collector.ts
+++ b/src/core/tables/chunk_collector.ts
@@ -1,12 +1,18 @@
-/** Collects the chunks of one revision from one peer, asking for each in turn. */
+/**
+ * Collects the chunks of a full transfer of one revision from one peer,
+ * requested one after another.
+ */
 import type { ChunkPosition } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
-/** Time without a chunk after which it is asked for again, and then given up. */
+/**
+ * Time after which the request for a chunk is retried or, after `MAX_RETRIES`,
+ * the transfer is aborted.
+ */
 const CHUNK_TIMEOUT_MS = 1_000;
 const MAX_RETRIES = 2;
 
-/** A chunk to ask for. */
+/** A chunk to request from a peer. */
 export interface RequestedChunk {
   from: string;
   revision: number;
@@ -21,7 +27,7 @@
   retries: number;
 }
 
-/** Every chunk of one revision. */
+/** All chunks of one revision. */
 export interface CollectedRevision<Chunk> {
   revision: number;
   digest: string;
@@ -36,9 +42,10 @@
   }
 
   /**
-   * Adds a chunk. A first chunk begins a collection unless one is under way;
-   * any other is taken only as the next of its own collection.
-   * @returns The revision when it is complete.
+   * Adds a chunk. The first chunk of a revision starts a transfer, unless one
+   * from another peer is in progress. Any other chunk is dropped unless it is
+   * the next one of the current transfer.
+   * @returns The complete revision, with its last chunk.
    */
   addChunk(
     from: string,
@@ -69,25 +76,31 @@
     return { revision, digest, chunks: transfer.chunks };
   }
 
-  /** Returns the chunk to ask for next, after one was added. */
+  /**
+   * Returns the next chunk to request, or undefined if no transfer is in
+   * progress.
+   */
   getNextChunk(): RequestedChunk | undefined {
     if (!this.#transfer) return undefined;
     const { from, position, chunks } = this.#transfer;
     return { from, revision: position.revision, index: chunks.length };
   }
 
-  /** Returns the chunk to ask for again; gives the collection up after some repeats. */
+  /**
+   * Returns the chunk whose request is to be retried; aborts the transfer after
+   * `MAX_RETRIES`.
+   */
   tick(now: Milliseconds): RequestedChunk | undefined {
-    const collection = this.#transfer;
-    if (!collection || now - collection.requestedAt < CHUNK_TIMEOUT_MS) {
+    const transfer = this.#transfer;
+    if (!transfer || now - transfer.requestedAt < CHUNK_TIMEOUT_MS) {
       return undefined;
     }
-    if (collection.retries >= MAX_RETRIES) {
+    if (transfer.retries >= MAX_RETRIES) {
       this.#transfer = undefined;
       return undefined;
     }
-    collection.retries += 1;
-    collection.requestedAt = now;
+    transfer.retries += 1;
+    transfer.requestedAt = now;
     return this.getNextChunk();
   }
 }
--- a/src/core/tables/delta_log.ts
+++ b/src/core/tables/delta_log.ts
@@ -1,15 +1,21 @@
-/** The latest deltas of one table, for peers that are a few revisions behind. */
+/**
+ * Log of the latest deltas of one table, for peers that are a few revisions
+ * behind.
+ */
 
-/** What every delta names of itself. */
+/** The revisions between which a delta leads. */
 export interface RevisionSpan {
   fromRevision: number;
   toRevision: number;
 }
 
-/** Deltas and rows kept at most. */
+/** Maximum number of deltas, and of rows in them, that the log keeps. */
 const MAX_DELTAS = 512;
 const MAX_LOGGED_ROWS = 20_000;
-/** Rows of one answer or one spread delta at most; more are moved in chunks. */
+/**
+ * Maximum number of rows in one response or one gossiped delta; more are
+ * transferred in chunks.
+ */
 export const MAX_DELTA_ROWS = 1_000;
 
 interface LogEntry<Delta> {
@@ -26,7 +32,10 @@
     this.#countRows = countRows;
   }
 
-  /** Adds the delta to the revision now in force; a gap drops what came before. */
+  /**
+   * Appends the delta that leads to the current revision. If it does not
+   * continue the log, earlier deltas are dropped.
+   */
   add(delta: Delta): void {
     const last = this.#entries.at(-1)?.delta;
     if (last && last.toRevision !== delta.fromRevision) this.clear();
@@ -45,7 +54,10 @@
     this.#rows = 0;
   }
 
-  /** Returns the deltas that lead on from the revision, or undefined when they are not kept or are too many. */
+  /**
+   * Returns the deltas since the revision, or undefined if the log no longer
+   * has them or they exceed `MAX_DELTA_ROWS`.
+   */
   getDeltasSince(revision: number): Delta[] | undefined {
     const start = this.#entries.findIndex(({ delta }) =>
       delta.fromRevision <= revision && revision < delta.toRevision
--- a/src/core/tables/host_list_snapshot.ts
+++ b/src/core/tables/host_list_snapshot.ts
@@ -1,4 +1,4 @@
-/** The host list at one revision. */
+/** Immutable snapshot of the host list at one revision. */
 import type { HostListDelta } from "../messages.ts";
 import type { HostListStructure, HostStructure } from "../structures.ts";
 import { formatDigest } from "./row_digest.ts";
@@ -29,7 +29,7 @@
     return this.#rows.getRows();
   }
 
-  /** Returns the list after the changes; this one stays as it is. */
+  /** Returns a new snapshot with the delta applied. */
   apply(delta: HostListDelta): HostListSnapshot {
     return new HostListSnapshot(
       delta.toRevision,
@@ -40,7 +40,7 @@
     );
   }
 
-  /** Returns what turns this list into the later one. */
+  /** Returns the delta from this snapshot to a later one. */
   findDelta(later: HostListSnapshot): HostListDelta {
     const { changed, removed } = this.#rows.findChanges(later.#rows);
     return {
--- a/src/core/tables/row_chunks.ts
+++ b/src/core/tables/row_chunks.ts
@@ -1,15 +1,18 @@
-/** Divides rows into chunks of bounded size, for transfers in full. */
+/** Splits rows into chunks of limited size, for full transfers. */
 
-/** Size of a chunk's rows, as JSON; a single larger row makes a chunk of its own. */
+/**
+ * Maximum size of a chunk's rows as JSON. A single larger row gets its own
+ * chunk.
+ */
 const CHUNK_BYTES = 262_144;
 
-/** A row and the name of the section that it belongs to. */
+/** A row and the section that it belongs to. */
 export interface SectionRow<Section extends string> {
   section: Section;
   row: unknown;
 }
 
-/** Returns the rows in order, divided into at least one chunk. */
+/** Returns the rows in order, split into at least one chunk. */
 export function buildChunks<Section extends string>(
   rows: Iterable<SectionRow<Section>>,
 ): SectionRow<Section>[][] {
--- a/src/core/tables/row_digest.ts
+++ b/src/core/tables/row_digest.ts
@@ -1,6 +1,7 @@
 /**
- * Digest of a set of rows that does not depend on their order: the sums of two
- * hashes of each row, so that a change costs only the rows that it touches.
+ * Order-independent digest of a set of rows: for each of two hash functions, the
+ * sum of the rows' hashes. It is updated incrementally, with only the rows that
+ * change.
  */
 import { hashText } from "../hashing.ts";
 
--- a/src/core/tables/row_formats.ts
+++ b/src/core/tables/row_formats.ts
@@ -1,4 +1,7 @@
-/** Keys and canonical texts of the rows of each table; the order of the fields is fixed. */
+/**
+ * Keys of each table's rows, and their canonical encoding for the digest. The
+ * order of the fields is fixed, because all daemons must compute equal digests.
+ */
 import type {
   CustomerStructure,
   HostStructure,
--- a/src/core/tables/row_set.ts
+++ b/src/core/tables/row_set.ts
@@ -1,4 +1,4 @@
-/** An immutable set of rows by key, with a digest that follows each change. */
+/** Immutable set of rows by key, with an incrementally updated digest. */
 import { BucketMap } from "./bucket_map.ts";
 import {
   addRow,
@@ -7,7 +7,7 @@
   type RowDigest,
 } from "./row_digest.ts";
 
-/** How the rows of one table are keyed and written for the digest. */
+/** Key of a table's rows, and their canonical encoding for the digest. */
 export interface RowFormat<Row> {
   getKey(row: Row): string;
   formatRow(row: Row): string;
@@ -35,7 +35,7 @@
     this.digest = digest;
   }
 
-  /** Builds a set; of rows with one key the last one stays. */
+  /** Builds a set. If several rows have the same key, the last one wins. */
   static createFrom<Row>(
     format: RowFormat<Row>,
     rows: Iterable<Row>,
@@ -64,7 +64,7 @@
     );
   }
 
-  /** Returns the set after the changes; this one stays as it is. */
+  /** Returns a new set with the changes applied. */
   apply(changes: RowChanges<Row>): RowSet<Row> {
     if (changes.changed.length === 0 && changes.removed.length === 0) {
       return this;
@@ -73,22 +73,22 @@
     const changed = new Map(changes.changed.map((row) => [getKey(row), row]));
     let digest = this.digest;
     for (const key of new Set([...changes.removed, ...changed.keys()])) {
-      const known = this.#rows.get(key);
-      if (known !== undefined) digest = removeRow(digest, formatRow(known));
+      const old = this.#rows.get(key);
+      if (old !== undefined) digest = removeRow(digest, formatRow(old));
     }
     for (const row of changed.values()) digest = addRow(digest, formatRow(row));
     const rows = this.#rows.apply([...changed], changes.removed);
     return new RowSet(this.#format, rows, digest);
   }
 
-  /** Returns what turns this set into the other. */
+  /** Returns the changes from this set to the other. */
   findChanges(other: RowSet<Row>): RowChanges<Row> {
     const { formatRow } = this.#format;
     const changed: Row[] = [];
     for (const [key, row] of other.#rows.listEntries()) {
-      const known = this.#rows.get(key);
-      if (known === row) continue;
-      if (known === undefined || formatRow(known) !== formatRow(row)) {
+      const old = this.#rows.get(key);
+      if (old === row) continue;
+      if (old === undefined || formatRow(old) !== formatRow(row)) {
         changed.push(row);
       }
     }
--- a/src/core/tables/schema_issue.ts
+++ b/src/core/tables/schema_issue.ts
@@ -1,7 +1,10 @@
-/** States what a schema expected, for faults that name the expected and the found value. */
+/**
+ * Describes the value that a schema expected, for messages that give the
+ * expected and the found value.
+ */
 import type { z } from "zod";
 
-/** Returns what was expected where the issue arose. */
+/** Returns a description of the value that was expected at the issue's path. */
 export function describeExpected(issue: z.core.$ZodIssue): string {
   switch (issue.code) {
     case "unrecognized_keys":
@@ -28,7 +31,10 @@
   }
 }
 
-/** Takes the library's own words off a message, such as `Too small: expected`. */
+/**
+ * Removes the prefix that zod puts before a message, such as `Too small:
+ * expected`.
+ */
 function stripPrefix(message: string): string {
   return message.replace(/^(?:[A-Z][a-z]+(?: [a-z]+)*: )?(?:expected )?/, "");
 }
--- a/src/core/tables/table_exchange.ts
+++ b/src/core/tables/table_exchange.ts
@@ -1,8 +1,9 @@
 /**
- * Exchange of the tables and the host list with peers. A daemon that hears of
- * newer revisions asks for them: it gets the deltas that lead on from what it
- * holds or, where none do, the whole in chunks. A revision that comes from
- * outside the failure domain is spread within it as a delta.
+ * Replication of the tables and the host list between peers. A daemon that
+ * learns of a newer revision requests it from the peer that announced it. The
+ * peer responds with the deltas since the requester's revision or, if it no
+ * longer has them, with a full transfer in chunks. A revision that was received
+ * from outside the failure domain is gossiped within it as a delta.
  */
 import type { Effect } from "../effects.ts";
 import {
@@ -25,25 +26,33 @@
 import { ChunkCache } from "./chunk_cache.ts";
 import type { OfferResult, TableReplica } from "./table_replica.ts";
 
-/** Time between requests for tables. */
+/** Minimum time between two requests for tables. */
 const TABLES_REQUEST_INTERVAL_MS = 300;
-/** Time after the last chunk was asked for when the divided tables are freed. */
+/**
+ * Time after the last request for a chunk at which cached chunks are dropped.
+ */
 const CHUNK_TTL_MS = 30_000;
 
-/** Time for which a revision that was rejected whole is not asked for again. */
+/**
+ * Time for which a revision that was rejected as invalid is not requested
+ * again.
+ */
 const REJECTION_TTL_MS = 30_000;
 
-/** What the exchange asks of its surroundings. */
+/** Callbacks of a table exchange. */
 export interface TableExchangeHandlers {
   emit(effect: Effect): void;
-  /** Called after a newer revision of either table came into force. */
+  /** Called after a newer revision of the tables became current. */
   handleTablesAccepted(now: Milliseconds): void;
   handleHostListAccepted(now: Milliseconds): void;
   publishTablesDelta(delta: TablesDelta, now: Milliseconds): void;
   publishHostListDelta(delta: HostListDelta, now: Milliseconds): void;
 }
 
-/** Where a revision came from: from outside, it is spread in the failure domain. */
+/**
+ * Whether a revision was received from this failure domain or from outside it. A
+ * revision from outside is gossiped within the failure domain.
+ */
 export const RevisionSource = {
   Outside: "outside",
   LocalDomain: "domain",
@@ -61,7 +70,9 @@
   #lastServedAt = Number.NEGATIVE_INFINITY;
   #needsFull = false;
   #newestPeerTablesRevision = 0;
-  /** Newest revision that was rejected, which is not asked for again at once. */
+  /**
+   * Latest rejected revision; it is not requested again for `REJECTION_TTL_MS`.
+   */
   #rejected = { revision: 0, at: Number.NEGATIVE_INFINITY };
 
   constructor(tables: TableReplica, handlers: TableExchangeHandlers) {
@@ -70,12 +81,14 @@
     this.#chunkCache = new ChunkCache(tables);
   }
 
-  /** Returns whether a peer has named newer tables than those in force. */
+  /**
+   * Returns whether a peer has announced newer tables than the current ones.
+   */
   isBehind(now: Milliseconds): boolean {
     return this.#newestPeerTablesRevision > this.#getKnownRevision(now);
   }
 
-  /** Asks a peer that holds newer revisions for them. */
+  /** Requests newer revisions from a peer that has announced them. */
   handlePeerRevisions(
     from: string,
     revisions: KnownRevisions,
@@ -92,14 +105,17 @@
     if (isBehind) this.requestUpdates(from, now);
   }
 
-  /** Asks a peer for what it holds that is newer, unless another was asked just now. */
+  /**
+   * Requests newer revisions from a peer, at most once per
+   * `TABLES_REQUEST_INTERVAL_MS`.
+   */
   requestUpdates(to: string, now: Milliseconds): void {
     if (now - this.#lastRequestAt < TABLES_REQUEST_INTERVAL_MS) return;
     this.#lastRequestAt = now;
     this.sendRequest(to, now);
   }
 
-  /** Asks a peer for what it holds that is newer. */
+  /** Requests newer revisions from a peer. */
   sendRequest(to: string, now: Milliseconds): void {
     this.#handlers.emit({
       kind: "send",
@@ -113,7 +129,10 @@
     });
   }
 
-  /** Answers with deltas or, where none lead on, with the first chunk of the whole. */
+  /**
+   * Responds with deltas or, if they are not available, with the first chunk of
+   * a full transfer.
+   */
   handleRequest(
     from: string,
     request: TablesRequestMessage,
@@ -141,28 +160,46 @@
     });
   }
 
-  /** Takes the tables as the platform publishes them. */
+  /** Handles the full tables as published by the platform. */
   offerTables(tables: TablesStructure, now: Milliseconds): void {
-    const known = this.#tables.getTablesRevision();
+    const previousRevision = this.#tables.getTablesRevision();
     const result = this.#tables.offerTables(tables);
-    this.#finishTablesOffer(result, known, RevisionSource.Outside, now);
+    this.#finishTablesOffer(
+      result,
+      previousRevision,
+      RevisionSource.Outside,
+      now,
+    );
   }
 
-  /** Takes what the platform changed in the tables in force. */
+  /** Handles a delta of the current tables as published by the platform. */
   offerPublishedDelta(delta: TablesDelta, now: Milliseconds): void {
-    const known = this.#tables.getTablesRevision();
+    const previousRevision = this.#tables.getTablesRevision();
     const result = this.#tables.offerPublishedDelta(delta);
-    this.#finishTablesOffer(result, known, RevisionSource.Outside, now);
+    this.#finishTablesOffer(
+      result,
+      previousRevision,
+      RevisionSource.Outside,
+      now,
+    );
   }
 
-  /** Takes the host list as the platform publishes it. */
+  /** Handles the host list as published by the platform. */
   offerHostList(hostList: HostListStructure, now: Milliseconds): void {
-    const known = this.#tables.getHostListRevision();
+    const previousRevision = this.#tables.getHostListRevision();
     const result = this.#tables.offerHostList(hostList);
-    this.#finishHostListOffer(result, known, RevisionSource.Outside, now);
+    this.#finishHostListOffer(
+      result,
+      previousRevision,
+      RevisionSource.Outside,
+      now,
+    );
   }
 
-  /** Takes deltas, in order; one that does not fit is asked for in another form. */
+  /**
+   * Applies deltas in order. After one that cannot be applied, requests other
+   * deltas or a full transfer from the sender.
+   */
   handleDeltas(
     from: string,
     deltas: Omit<TablesTransferMessage, "kind">,
@@ -170,17 +207,17 @@
     now: Milliseconds,
   ): void {
     for (const delta of deltas.tablesDeltas) {
-      const known = this.#tables.getTablesRevision();
+      const previousRevision = this.#tables.getTablesRevision();
       const result = this.#tables.offerTablesDelta(delta);
-      this.#finishTablesOffer(result, known, source, now);
+      this.#finishTablesOffer(result, previousRevision, source, now);
       if (!this.#tablesCollector.isCollecting()) {
         this.#requestAgain(from, result, now);
       }
     }
     for (const delta of deltas.hostListDeltas) {
-      const known = this.#tables.getHostListRevision();
+      const previousRevision = this.#tables.getHostListRevision();
       const result = this.#tables.offerHostListDelta(delta);
-      this.#finishHostListOffer(result, known, source, now);
+      this.#finishHostListOffer(result, previousRevision, source, now);
       if (!this.#hostsCollector.isCollecting()) {
         this.#requestAgain(from, result, now);
       }
@@ -201,24 +238,24 @@
     source: RevisionSource,
     now: Milliseconds,
   ): void {
-    const known = this.#tables.getTablesRevision();
-    if (chunk.position.revision <= known) return;
-    const whole = this.#tablesCollector.addChunk(from, chunk, now);
+    const previousRevision = this.#tables.getTablesRevision();
+    if (chunk.position.revision <= previousRevision) return;
+    const collected = this.#tablesCollector.addChunk(from, chunk, now);
     this.#requestChunk(
       ChunkedTable.Tables,
       this.#tablesCollector.getNextChunk(),
     );
-    if (!whole) return;
+    if (!collected) return;
     const result = this.#tables.offerTables({
-      revision: whole.revision,
-      customers: whole.chunks.flatMap((part) => part.customers),
-      routes: whole.chunks.flatMap((part) => part.routes),
-      pools: whole.chunks.flatMap((part) => part.pools),
-    }, whole.digest);
+      revision: collected.revision,
+      customers: collected.chunks.flatMap((part) => part.customers),
+      routes: collected.chunks.flatMap((part) => part.routes),
+      pools: collected.chunks.flatMap((part) => part.pools),
+    }, collected.digest);
     if (result.kind === "invalid") {
-      this.#rejected = { revision: whole.revision, at: now };
+      this.#rejected = { revision: collected.revision, at: now };
     }
-    this.#finishTablesOffer(result, known, source, now);
+    this.#finishTablesOffer(result, previousRevision, source, now);
   }
 
   handleHostListChunk(
@@ -227,29 +264,35 @@
     source: RevisionSource,
     now: Milliseconds,
   ): void {
-    const known = this.#tables.getHostListRevision();
-    if (chunk.position.revision <= known) return;
-    const whole = this.#hostsCollector.addChunk(from, chunk, now);
+    const previousRevision = this.#tables.getHostListRevision();
+    if (chunk.position.revision <= previousRevision) return;
+    const collected = this.#hostsCollector.addChunk(from, chunk, now);
     this.#requestChunk(
       ChunkedTable.HostList,
       this.#hostsCollector.getNextChunk(),
     );
-    if (!whole) return;
+    if (!collected) return;
     const result = this.#tables.offerHostList({
-      revision: whole.revision,
-      hosts: whole.chunks.flatMap((part) => part.hosts),
-    }, whole.digest);
-    this.#finishHostListOffer(result, known, source, now);
+      revision: collected.revision,
+      hosts: collected.chunks.flatMap((part) => part.hosts),
+    }, collected.digest);
+    this.#finishHostListOffer(result, previousRevision, source, now);
   }
 
-  /** Repeats requests for chunks and frees what is no longer served. */
+  /**
+   * Retries requests for chunks, and drops cached chunks that are no longer
+   * requested.
+   */
   tick(now: Milliseconds): void {
     this.#requestChunk(ChunkedTable.Tables, this.#tablesCollector.tick(now));
     this.#requestChunk(ChunkedTable.HostList, this.#hostsCollector.tick(now));
     if (now - this.#lastServedAt >= CHUNK_TTL_MS) this.#chunkCache.clear();
   }
 
-  /** Returns the revision held, or one that was rejected whole just now. */
+  /**
+   * Returns the current revision, or a higher one that was rejected within
+   * `REJECTION_TTL_MS`.
+   */
   #getKnownRevision(now: Milliseconds): number {
     const isRejectionFresh = now - this.#rejected.at < REJECTION_TTL_MS;
     return Math.max(
@@ -258,7 +301,10 @@
     );
   }
 
-  /** Returns the deltas to send; sends the first chunk instead where none lead on. */
+  /**
+   * Returns the deltas to send; if they are not available, sends the first
+   * chunk of a full transfer instead.
+   */
   #selectDeltas(
     to: string,
     table: ChunkedTable,
@@ -291,9 +337,9 @@
     if (message) this.#handlers.emit({ kind: "send", to, message });
   }
 
-  #requestChunk(table: ChunkedTable, wanted: RequestedChunk | undefined): void {
-    if (!wanted) return;
-    const { from, revision, index } = wanted;
+  #requestChunk(table: ChunkedTable, chunk: RequestedChunk | undefined): void {
+    if (!chunk) return;
+    const { from, revision, index } = chunk;
     this.#handlers.emit({
       kind: "send",
       to: from,
@@ -301,7 +347,10 @@
     });
   }
 
-  /** Asks the sender again after a delta that did not lead on. */
+  /**
+   * Requests the revision from the sender again after a delta that could not be
+   * applied.
+   */
   #requestAgain(from: string, result: OfferResult, now: Milliseconds): void {
     switch (result.kind) {
       case "accepted":
--- a/src/core/tables/table_replica.ts
+++ b/src/core/tables/table_replica.ts
@@ -1,8 +1,8 @@
 /**
- * Keeps the tables and the host list in force. Revisions only grow: an older
- * or equal revision from any source changes nothing, and an invalid one is
- * rejected whole. A delta is taken when it leads on from the revision in force
- * and the digest of the whole comes out as it names.
+ * Local replica of the tables and the host list. Revisions only increase: an
+ * older or equal revision is ignored whatever its source, and an invalid one is
+ * rejected as a whole. A delta from a peer is accepted if it applies to the
+ * current revision and the result has the digest that the delta carries.
  */
 import type { Result } from "ts-results-es";
 import type { HostListDelta, TablesDelta } from "../messages.ts";
@@ -16,14 +16,17 @@
 } from "./table_schema.ts";
 import { TableSnapshot } from "./table_snapshot.ts";
 
-/** What became of an offered revision. */
+/** Result of offering a revision to the replica. */
 export type OfferResult =
   | { kind: "accepted" }
   | { kind: "stale" }
   | { kind: "invalid"; faults: TableFault[] }
-  /** The delta starts from a revision that is not held. */
+  /**
+   * The delta starts at a revision that does not let it apply to the current
+   * one.
+   */
   | { kind: "gap" }
-  /** The whole does not have the digest that was named. */
+  /** The resulting tables do not have the expected digest. */
   | { kind: "digestMismatch" };
 
 export class TableReplica {
@@ -48,19 +51,25 @@
     return this.#hostList?.revision ?? 0;
   }
 
-  /** Returns the deltas that lead from the revision to the one in force, or undefined. */
+  /**
+   * Returns the deltas from the revision to the current one, or undefined if
+   * they are not available.
+   */
   getTablesDeltasSince(revision: number): TablesDelta[] | undefined {
     return this.#tablesLog.getDeltasSince(revision);
   }
 
-  /** Returns the deltas that lead from the revision to the one in force, or undefined. */
+  /**
+   * Returns the deltas from the revision to the current one, or undefined if
+   * they are not available.
+   */
   getHostListDeltasSince(revision: number): HostListDelta[] | undefined {
     return this.#hostListLog.getDeltasSince(revision);
   }
 
   /**
-   * Takes the tables if they are newer than those in force, and valid.
-   * @param digest Digest that the tables must have; unchecked when absent.
+   * Accepts the full tables if they are valid and newer than the current ones.
+   * @param digest Digest that the tables must have; not checked if absent.
    */
   offerTables(tables: TablesStructure, digest?: string): OfferResult {
     if (tables.revision <= this.getTablesRevision()) return { kind: "stale" };
@@ -76,8 +85,9 @@
   }
 
   /**
-   * Takes changes of exactly the revision in force, as read from the platform,
-   * which names no digest of the whole.
+   * Applies a delta that was read from the platform. It must start at exactly
+   * the current revision, because the platform gives no digest to check the
+   * result against.
    */
   offerPublishedDelta(delta: TablesDelta): OfferResult {
     const revision = this.getTablesRevision();
@@ -86,10 +96,13 @@
     return this.#applyTablesDelta(delta, undefined);
   }
 
-  /** Takes the tables that the delta leads to, if it fits those in force. */
+  /**
+   * Applies a delta that was received from a peer, if it applies to the current
+   * revision.
+   */
   offerTablesDelta(delta: TablesDelta): OfferResult {
-    const misfit = checkRevisionSpan(delta, this.getTablesRevision());
-    return misfit ?? this.#applyTablesDelta(delta, delta.digest);
+    const rejection = checkRevisionSpan(delta, this.getTablesRevision());
+    return rejection ?? this.#applyTablesDelta(delta, delta.digest);
   }
 
   #applyTablesDelta(
@@ -115,8 +128,8 @@
   }
 
   /**
-   * Takes the host list if it is newer than the one in force.
-   * @param digest Digest that the list must have; unchecked when absent.
+   * Accepts the full host list if it is newer than the current one.
+   * @param digest Digest that the list must have; not checked if absent.
    */
   offerHostList(hostList: HostListStructure, digest?: string): OfferResult {
     if (hostList.revision <= this.getHostListRevision()) {
@@ -131,10 +144,13 @@
     return { kind: "accepted" };
   }
 
-  /** Takes the host list that the delta leads to, if it fits the one in force. */
+  /**
+   * Applies a delta of the host list that was received from a peer, if it
+   * applies to the current revision.
+   */
   offerHostListDelta(delta: HostListDelta): OfferResult {
-    const misfit = checkRevisionSpan(delta, this.getHostListRevision());
-    if (misfit) return misfit;
+    const rejection = checkRevisionSpan(delta, this.getHostListRevision());
+    if (rejection) return rejection;
     if (!this.#hostList) return { kind: "gap" };
     const next = this.#hostList.apply(delta);
     if (next.digest !== delta.digest) return { kind: "digestMismatch" };
@@ -144,7 +160,10 @@
   }
 }
 
-/** Returns why the delta does not lead on from the revision, or undefined when it does. */
+/**
+ * Returns why the delta does not apply to the revision, or undefined if it
+ * does.
+ */
 function checkRevisionSpan(
   delta: RevisionSpan,
   revision: number,
--- a/src/core/tables/table_schema.ts
+++ b/src/core/tables/table_schema.ts
@@ -1,4 +1,6 @@
-/** Schema of the two tables and the check of a revision as a whole. */
+/**
+ * Schema of the tables, and validation of a complete revision or of a delta.
+ */
 import { Err, Ok, type Result } from "ts-results-es";
 import * as z from "zod";
 import type { TablesDelta } from "../messages.ts";
@@ -14,7 +16,7 @@
 import { describeExpected } from "./schema_issue.ts";
 import type { TableSnapshot } from "./table_snapshot.ts";
 
-/** Largest value that the configuration service holds. */
+/** Maximum size of a value in the configuration service. */
 export const MAX_TABLE_BYTES = 1_048_576;
 
 const NAME = z.string().regex(/^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$/);
@@ -72,14 +74,20 @@
   removedPools: NAMES,
 });
 
-/** One fault of a table: the path in it, what was expected and what was found. */
+/**
+ * A validation fault of the tables: its path, the expected value and the value
+ * found.
+ */
 export interface TableFault {
   path: (string | number)[];
   expected: string;
   found: string;
 }
 
-/** Checks a revision whole: its shape, the uniqueness of names and the joins. */
+/**
+ * Validates a complete revision: its schema, the uniqueness of names and the
+ * references between rows.
+ */
 export function checkTables(
   value: unknown,
 ): Result<TablesStructure, TableFault[]> {
@@ -90,9 +98,9 @@
 }
 
 /**
- * Applies a delta and checks the changed rows, and the rows that stay but were
- * joined to rows that it changes or removes. The rows that it does not touch
- * have been checked at an earlier revision.
+ * Applies a delta, and validates the changed rows and the unchanged rows that
+ * may refer to a row that the delta changes or removes. All other rows were
+ * validated with an earlier revision.
  */
 export function applyCheckedDelta(
   snapshot: TableSnapshot,
@@ -114,7 +122,7 @@
   return faults.length > 0 ? Err(faults) : Ok(next);
 }
 
-/** Returns the routes whose joins the delta may have broken. */
+/** Returns the routes whose references the delta may have broken. */
 function selectAffectedRoutes(
   next: TableSnapshot,
   delta: TablesDelta,
@@ -134,7 +142,7 @@
   }));
 }
 
-/** Rows by name, to follow the joins of routes. */
+/** Looks up the rows that routes refer to. */
 interface ReferencedRows {
   getPool(name: string): PoolStructure | undefined;
   getCustomer(name: string): CustomerStructure | undefined;
--- a/src/core/tables/table_snapshot.ts
+++ b/src/core/tables/table_snapshot.ts
@@ -1,4 +1,4 @@
-/** An immutable, indexed view of the tables at one revision. */
+/** Immutable, indexed snapshot of the tables at one revision. */
 import type { TablesDelta } from "../messages.ts";
 import type {
   CustomerStructure,
@@ -12,7 +12,7 @@
 import { CUSTOMER_FORMAT, POOL_FORMAT, ROUTE_FORMAT } from "./row_formats.ts";
 import { RowSet } from "./row_set.ts";
 
-/** The sets of rows that make up the tables. */
+/** Rows of each table. */
 interface TableRows {
   customers: RowSet<CustomerStructure>;
   routes: RowSet<RouteStructure>;
@@ -21,7 +21,7 @@
 
 export class TableSnapshot {
   readonly revision: number;
-  /** Digest of all rows, the same in every daemon that holds them. */
+  /** Digest of all rows, equal in every daemon that has the same rows. */
   readonly digest: string;
   readonly #rows: TableRows;
   readonly #customersByDigest: ReadonlyMap<string, CustomerStructure>;
@@ -49,7 +49,7 @@
     for (const pool of rows.pools.getRows()) this.#addToPoolIndex(pool);
   }
 
-  /** Builds the view of tables that have been checked. */
+  /** Builds a snapshot of tables that have been validated. */
   static createFrom(structure: TablesStructure): TableSnapshot {
     return new TableSnapshot(structure.revision, {
       customers: RowSet.createFrom(CUSTOMER_FORMAT, structure.customers),
@@ -58,7 +58,7 @@
     });
   }
 
-  /** Returns the view after the changes; this one stays as it is. */
+  /** Returns a new snapshot with the delta applied. */
   apply(delta: TablesDelta): TableSnapshot {
     const { customers, routes, pools } = this.#rows;
     return new TableSnapshot(delta.toRevision, {
@@ -74,7 +74,7 @@
     }, this);
   }
 
-  /** Returns what turns this view into the later one. */
+  /** Returns the delta from this snapshot to a later one. */
   findDelta(later: TableSnapshot): TablesDelta {
     const customers = this.#rows.customers.findChanges(later.#rows.customers);
     const routes = this.#rows.routes.findChanges(later.#rows.routes);
@@ -98,7 +98,7 @@
     return route?.customer === customer ? route : undefined;
   }
 
-  /** Returns the route whoever it belongs to, for operators and checks. */
+  /** Returns the route regardless of its customer, for operators and checks. */
   getRouteByName(name: string): RouteStructure | undefined {
     return this.#rows.routes.getRow(name);
   }
@@ -107,14 +107,17 @@
     return this.#rows.pools.getRow(name);
   }
 
-  /** Returns the first pool that selects the upstream, or undefined. */
+  /**
+   * Returns the first pool that the upstream belongs to, by service and failure
+   * domain.
+   */
   getPoolOfUpstream(host: HostStructure): PoolStructure | undefined {
     return this.#poolsByUpstream.get(
       createUpstreamKey(host.service, host.failureDomain),
     );
   }
 
-  /** Returns the longest run of any route to the pool. */
+  /** Returns the longest `maxRunMs` of the routes to the pool. */
   getMaxRunMs(poolName: string): Milliseconds {
     this.#maxRuns ??= this.#computeMaxRuns();
     return this.#maxRuns.get(poolName) ?? 0;
@@ -124,7 +127,7 @@
     return this.#rows.customers.getRow(name);
   }
 
-  /** Returns the customer that holds the token with this SHA-256 digest. */
+  /** Returns the customer whose token has this SHA-256 digest. */
   getCustomerByTokenDigest(digest: string): CustomerStructure | undefined {
     return this.#customersByDigest.get(digest);
   }
@@ -151,8 +154,8 @@
   #computeMaxRuns(): Map<string, Milliseconds> {
     const longest = new Map<string, Milliseconds>();
     for (const route of this.getRoutes()) {
-      const known = longest.get(route.pool) ?? 0;
-      if (route.maxRunMs > known) longest.set(route.pool, route.maxRunMs);
+      const currentMs = longest.get(route.pool) ?? 0;
+      if (route.maxRunMs > currentMs) longest.set(route.pool, route.maxRunMs);
     }
     return longest;
   }
--- a/test/core/purity_test.ts
+++ b/test/core/purity_test.ts
@@ -1,4 +1,7 @@
-/** The core imports nothing but itself, its charts and plain libraries, and reads no clock. */
+/**
+ * Checks that the core stays deterministic: it imports only itself, its state
+ * charts and libraries without I/O, reads no clock and uses no random source.
+ */
 import { readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { test } from "uvu";
@@ -23,7 +26,7 @@
 }
 
 for (const file of listSources("src/core")) {
-  test(`${file} stays within the core`, () => {
+  test(`${file} imports only the core and allowed packages`, () => {
     const text = readFileSync(file, "utf8");
     for (const [, target] of text.matchAll(/from "([^"]+)"/g)) {
       const isInside = target?.startsWith(".")
@@ -33,7 +36,7 @@
     }
   });
 
-  test(`${file} reads no clock and draws no random numbers`, () => {
+  test(`${file} reads no clock and uses no random source`, () => {
     const match = FORBIDDEN.exec(readFileSync(file, "utf8"));
     assert.is(match, null, `${file} uses ${match?.[0]}`);
   });
--- a/test/core/single_daemon.ts
+++ b/test/core/single_daemon.ts
@@ -1,4 +1,7 @@
-/** One daemon's core with upstreams that answer at once, for focused tests of its decisions. */
+/**
+ * The core of a single daemon with simulated upstreams that respond
+ * immediately, for unit tests of its decisions.
+ */
 import { DEFAULT_CORE_SETTINGS } from "../../src/core/core_settings.ts";
 import { DaemonCore } from "../../src/core/daemon_core.ts";
 import type {
@@ -17,16 +20,25 @@
 
 const TICK_MS = 50;
 const DOMAIN = "hobart-a";
-/** Failure domain of the peers, of which silence tells nothing. */
+/**
+ * Failure domain of the peers. It differs from the daemon's own, so that their
+ * silence does not make the daemon consider them dead.
+ */
 export const PEER_DOMAIN = "huon-b";
 export const ENTRY_ID = "entry-1";
 
 export class SingleDaemon {
   readonly core: DaemonCore;
   readonly effects: Effect[] = [];
-  /** What each upstream reports; those left out refuse connections. */
+  /**
+   * State that each upstream reports; an upstream without an entry refuses
+   * connections.
+   */
   readonly states = new Map<string, UpstreamStateStructure>();
-  /** Examinations of lost attempts, from now on, whose reading gets no answer. */
+  /**
+   * Number of further state readings for lost attempts that fail without a
+   * response.
+   */
   lostExaminations = 0;
   now = 0;
   #lastRequestNumber = 0;
@@ -70,7 +82,7 @@
     }
   }
 
-  /** Sends a request and returns its identifier. */
+  /** Sends a request and returns its id. */
   request(route: string, options: { ticket?: string } = {}): string {
     this.#lastRequestNumber += 1;
     const requestId = `request-${this.#lastRequestNumber}`;
--- a/test/core/tables/table_delta_test.ts
+++ b/test/core/tables/table_delta_test.ts
@@ -1,4 +1,4 @@
-/** Deltas of the tables and the host list: applied, refused, logged and moved in chunks. */
+/** Deltas and full transfers of the tables and the host list between peers. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
@@ -26,9 +26,9 @@
 };
 
 function createReplica(tables: TablesStructure): TableReplica {
-  const keeper = new TableReplica();
-  assert.equal(keeper.offerTables(tables), { kind: "accepted" });
-  return keeper;
+  const replica = new TableReplica();
+  assert.equal(replica.offerTables(tables), { kind: "accepted" });
+  return replica;
 }
 
 function findDelta(from: TablesStructure, to: TablesStructure): TablesDelta {
@@ -36,14 +36,14 @@
     .findDelta(TableSnapshot.createFrom(to));
 }
 
-/** Two daemons' exchanges, each of which gets what the other sends. */
+/** Table exchanges of two daemons that are connected to each other. */
 class ExchangePair {
   readonly replicas = [new TableReplica(), new TableReplica()] as const;
   readonly exchanges: readonly [TableExchange, TableExchange];
   readonly published: TablesDelta[] = [];
   readonly sent: PeerMessage[] = [];
   now = 0;
-  /** Changes a message on its way; undefined loses it. */
+  /** Replaces a message in transit; returns undefined to drop it. */
   intercept: (message: PeerMessage) => PeerMessage | undefined = (message) =>
     message;
 
@@ -51,7 +51,7 @@
     this.exchanges = [this.#createExchange(0), this.#createExchange(1)];
   }
 
-  /** Lets the second daemon hear of what the first holds. */
+  /** Announces the first daemon's revisions to the second. */
   announceRevisions(): void {
     this.exchanges[1].handlePeerRevisions("0", {
       tablesRevision: this.replicas[0].getTablesRevision(),
@@ -105,26 +105,26 @@
   }
 }
 
-test("a delta leads to the same whole as the full tables", () => {
+test("applying a delta gives the same digest as the full tables", () => {
   const first = createTables(SIZES, 2);
   const second = {
     ...editTables(first, 3),
     pools: first.pools.map((pool) => ({ ...pool, batchSize: 16 })),
   };
   second.routes = second.routes.slice(0, 15).concat(createRoute(99, 2, "v1"));
-  const keeper = createReplica(first);
-  assert.equal(keeper.offerTablesDelta(findDelta(first, second)), {
+  const replica = createReplica(first);
+  assert.equal(replica.offerTablesDelta(findDelta(first, second)), {
     kind: "accepted",
   });
-  const whole = TableSnapshot.createFrom(second);
-  const snapshot = keeper.getSnapshot();
-  assert.is(snapshot?.digest, whole.digest);
+  const expected = TableSnapshot.createFrom(second);
+  const snapshot = replica.getSnapshot();
+  assert.is(snapshot?.digest, expected.digest);
   assert.is(snapshot?.getRouteByName("route-3")?.version, "v3");
   assert.is(snapshot?.getRouteByName("route-16"), undefined);
   assert.ok(snapshot?.getRouteByName("route-99"));
 });
 
-test("a delta that is late, repeated or from a later revision changes nothing", () => {
+test("a delta that is stale or leaves a gap changes nothing", () => {
   const revisions = [createTables(SIZES, 2)];
   for (let edit = 0; edit < 3; edit += 1) {
     revisions.push(editTables(revisions.at(-1)!, edit));
@@ -135,7 +135,7 @@
     TablesStructure,
     TablesStructure,
   ];
-  const keeper = createReplica(r2);
+  const replica = createReplica(r2);
   const cases: [TablesDelta, string, number][] = [
     [findDelta(r4, r5), "gap", 2],
     [findDelta(r2, r3), "accepted", 3],
@@ -145,14 +145,14 @@
     [findDelta(r4, r5), "accepted", 5],
   ];
   for (const [delta, kind, revision] of cases) {
-    assert.is(keeper.offerTablesDelta(delta).kind, kind);
-    assert.is(keeper.getTablesRevision(), revision);
+    assert.is(replica.offerTablesDelta(delta).kind, kind);
+    assert.is(replica.getTablesRevision(), revision);
   }
 });
 
-test("changes that the platform publishes never lead back, nor over a gap", () => {
+test("a published delta is rejected if it is stale or leaves a gap", () => {
   const first = createTables(SIZES, 5);
-  const keeper = createReplica(first);
+  const replica = createReplica(first);
   const spans: [number, number, string][] = [
     [5, 4, "stale"],
     [5, 5, "stale"],
@@ -162,7 +162,7 @@
   ];
   for (const [fromRevision, toRevision, kind] of spans) {
     const delta = findDelta(first, editTables(first, 1));
-    const result = keeper.offerPublishedDelta({
+    const result = replica.offerPublishedDelta({
       ...delta,
       fromRevision,
       toRevision,
@@ -170,18 +170,18 @@
     });
     assert.is(result.kind, kind, `${fromRevision} to ${toRevision}`);
   }
-  assert.is(keeper.getTablesRevision(), 6);
+  assert.is(replica.getTablesRevision(), 6);
 });
 
-test("a delta that spans a change and its reversal is refused by the digest", () => {
+test("a delta over a change and its reversal fails the digest check", () => {
   const first = createTables(SIZES, 2);
   const changed = editTables(first, 1);
   const reverted = { ...first, revision: 4 };
-  const keeper = createReplica(changed);
-  const result = keeper.offerTablesDelta(findDelta(first, reverted));
+  const replica = createReplica(changed);
+  const result = replica.offerTablesDelta(findDelta(first, reverted));
   assert.is(result.kind, "digestMismatch");
-  assert.is(keeper.getTablesRevision(), 3);
-  assert.is(keeper.getSnapshot()?.getRouteByName("route-1")?.version, "v3");
+  assert.is(replica.getTablesRevision(), 3);
+  assert.is(replica.getSnapshot()?.getRouteByName("route-1")?.version, "v3");
 });
 
 const INVALID_DELTAS: [string, (delta: TablesDelta) => Partial<TablesDelta>][] =
@@ -194,20 +194,20 @@
     ["a malformed name", (delta) => ({
       routes: delta.routes.map((route) => ({ ...route, name: "no name" })),
     })],
-    ["a torn delta", (delta) => ({ routes: delta.routes.slice(1) })],
+    ["missing rows", (delta) => ({ routes: delta.routes.slice(1) })],
     ["a wrong digest", () => ({ digest: "0".repeat(16) })],
   ];
 
 for (const [what, corrupt] of INVALID_DELTAS) {
-  test(`a delta with ${what} is rejected whole`, () => {
+  test(`a delta with ${what} is rejected as a whole`, () => {
     const first = createTables(SIZES, 2);
-    const keeper = createReplica(first);
-    const digest = keeper.getSnapshot()?.digest;
+    const replica = createReplica(first);
+    const digest = replica.getSnapshot()?.digest;
     const delta = findDelta(first, editTables(first, 2));
-    const result = keeper.offerTablesDelta({ ...delta, ...corrupt(delta) });
+    const result = replica.offerTablesDelta({ ...delta, ...corrupt(delta) });
     assert.ok(["invalid", "digestMismatch"].includes(result.kind), result.kind);
-    assert.is(keeper.getTablesRevision(), 2);
-    assert.is(keeper.getSnapshot()?.digest, digest);
+    assert.is(replica.getTablesRevision(), 2);
+    assert.is(replica.getSnapshot()?.digest, digest);
   });
 }
 
@@ -220,7 +220,7 @@
   );
 });
 
-test("the log serves what leads on, and nothing after a gap", () => {
+test("the delta log returns no deltas from before a gap", () => {
   const log = new DeltaLog<{ fromRevision: number; toRevision: number }>(
     () => 1,
   );
@@ -234,7 +234,7 @@
   assert.is(log.getDeltasSince(9)?.length, 1);
 });
 
-test("a peer a few revisions behind gets deltas, a new one the whole in chunks", () => {
+test("a peer a few revisions behind gets deltas, a new peer gets chunks", () => {
   const pair = new ExchangePair();
   const sizes = { ...SIZES, routes: 4_000 };
   pair.exchanges[0].offerTables(createTables(sizes, 2), 0);
@@ -260,7 +260,7 @@
   );
 });
 
-test("chunks lost on the way are asked for again, and a torn whole is not taken", () => {
+test("lost chunks are requested again and incomplete tables are rejected", () => {
   const pair = new ExchangePair();
   const tables = createTables({ ...SIZES, routes: 4_000 }, 2);
   pair.exchanges[0].offerTables(tables, 0);
@@ -281,7 +281,7 @@
   );
 });
 
-test("a delta with a wrong digest is followed by the whole", () => {
+test("a full transfer follows a delta with a wrong digest", () => {
   const pair = new ExchangePair();
   const tables = createTables(SIZES, 2);
   pair.exchanges[0].offerTables(tables, 0);
@@ -301,7 +301,7 @@
   assert.is(pair.replicas[1].getTablesRevision(), 3);
 });
 
-test("the host list moves by deltas too", () => {
+test("the host list is updated by deltas", () => {
   const pair = new ExchangePair();
   const host = {
     id: "entry-1",
--- a/test/core/tables/table_replica_test.ts
+++ b/test/core/tables/table_replica_test.ts
@@ -26,15 +26,15 @@
   }).unwrap();
 }
 
-test("takes a newer revision", () => {
-  const keeper = new TableReplica();
-  assert.equal(keeper.offerTables(createTables(2)), { kind: "accepted" });
-  assert.is(keeper.getTablesRevision(), 2);
+test("accepts a newer revision", () => {
+  const replica = new TableReplica();
+  assert.equal(replica.offerTables(createTables(2)), { kind: "accepted" });
+  assert.is(replica.getTablesRevision(), 2);
 });
 
-test("never goes back by a published delta", () => {
-  const keeper = new TableReplica();
-  keeper.offerTables(createTables(5));
+test("ignores a published delta to an older or equal revision", () => {
+  const replica = new TableReplica();
+  replica.offerTables(createTables(5));
   const unchanged = {
     digest: "",
     customers: [],
@@ -46,36 +46,38 @@
   };
   for (const toRevision of [5, 4, 1]) {
     const delta = { ...unchanged, fromRevision: 5, toRevision };
-    assert.equal(keeper.offerPublishedDelta(delta), { kind: "stale" });
+    assert.equal(replica.offerPublishedDelta(delta), { kind: "stale" });
   }
-  assert.is(keeper.getTablesRevision(), 5);
-  assert.is(keeper.getSnapshot()?.getRoutes().length, 1);
+  assert.is(replica.getTablesRevision(), 5);
+  assert.is(replica.getSnapshot()?.getRoutes().length, 1);
 });
 
-test("never goes back to an older or equal revision", () => {
-  const keeper = new TableReplica();
-  keeper.offerTables(createTables(5));
+test("ignores an older or equal revision", () => {
+  const replica = new TableReplica();
+  replica.offerTables(createTables(5));
   for (const revision of [5, 4, 1]) {
-    assert.equal(keeper.offerTables(createTables(revision)), { kind: "stale" });
+    assert.equal(replica.offerTables(createTables(revision)), {
+      kind: "stale",
+    });
   }
-  assert.is(keeper.getTablesRevision(), 5);
+  assert.is(replica.getTablesRevision(), 5);
 });
 
-test("rejects an invalid revision whole and keeps the last good one", () => {
-  const keeper = new TableReplica();
-  keeper.offerTables(createTables(2));
+test("rejects an invalid revision as a whole and keeps the last valid one", () => {
+  const replica = new TableReplica();
+  replica.offerTables(createTables(2));
   const invalid = createTables(3);
   invalid.pools = [];
-  assert.is(keeper.offerTables(invalid).kind, "invalid");
-  assert.is(keeper.getTablesRevision(), 2);
-  assert.ok(keeper.getSnapshot()?.getRoute("briefing", "derwent"));
+  assert.is(replica.offerTables(invalid).kind, "invalid");
+  assert.is(replica.getTablesRevision(), 2);
+  assert.ok(replica.getSnapshot()?.getRoute("briefing", "derwent"));
 });
 
-test("shows a route to its own customer only", () => {
-  const keeper = new TableReplica();
-  keeper.offerTables(createTables(2));
-  assert.is(keeper.getSnapshot()?.getRoute("briefing", "solljus"), undefined);
-  assert.is(keeper.getSnapshot()?.getRoute("absent", "derwent"), undefined);
+test("returns a route to its own customer only", () => {
+  const replica = new TableReplica();
+  replica.offerTables(createTables(2));
+  assert.is(replica.getSnapshot()?.getRoute("briefing", "solljus"), undefined);
+  assert.is(replica.getSnapshot()?.getRoute("absent", "derwent"), undefined);
 });
 
 test.run();
