--- a/src/core/control_plane.ts
+++ b/src/core/control_plane.ts
@@ -105,8 +105,8 @@
 
   /**
    * Returns whether the view of the peers is complete enough to assign upstreams
-   * to owners: the start grace period is over, or every peer of this failure
-   * domain is known.
+   * to owners: the start grace period is over, or this daemon has joined its
+   * peers and knows every one in its failure domain.
    */
   hasConverged(now: Milliseconds): boolean {
     const { settings, membership } = this.#options;
@@ -116,9 +116,10 @@
   }
 
   /**
-   * Returns whether requests may be served with the current tables: the platform
-   * or a peer was asked for newer ones, and none that a peer announced is
-   * missing. After `MAX_START_GRACE_PERIODS`, missing ones are not waited for.
+   * Returns whether requests may be served with the current tables. The platform
+   * or a peer must have been asked for newer ones. During the first
+   * `MAX_START_GRACE_PERIODS`, this daemon must also have joined its peers and
+   * have every revision that they announced.
    */
   isReadyToServe(now: Milliseconds): boolean {
     const { tables, settings } = this.#options;
--- a/src/core/structures.ts
+++ b/src/core/structures.ts
@@ -74,7 +74,10 @@
   share: number;
 }
 
-/** One row of the pools table: a set of interchangeable upstreams. */
+/**
+ * One row of the pools table: the upstreams, by service and failure domain, that
+ * serve the routes to the pool.
+ */
 export interface PoolStructure {
   name: string;
   kind: PoolKind;
--- a/src/core/tables/table_exchange.ts
+++ b/src/core/tables/table_exchange.ts
@@ -50,8 +50,9 @@
 }
 
 /**
- * Whether a revision was received from this failure domain or from outside it. A
- * revision from outside is gossiped within the failure domain.
+ * Whether a revision came from this failure domain or from outside it: from the
+ * platform or a daemon of another domain. A revision from outside is gossiped
+ * within the failure domain.
  */
 export const RevisionSource = {
   Outside: "outside",
@@ -106,7 +107,7 @@
   }
 
   /**
-   * Requests newer revisions from a peer, at most once per
+   * Requests newer revisions from a peer, unless any peer was asked within
    * `TABLES_REQUEST_INTERVAL_MS`.
    */
   requestUpdates(to: string, now: Milliseconds): void {
