--- a/src/charts/request_chart.ts
+++ b/src/charts/request_chart.ts
@@ -6,7 +6,7 @@
   | "unassigned"
   | "leasing"
   | "running"
-  | "examining"
+  | "checkingForCrash"
   | "done";
 export type RequestTrigger =
   | "ticketGranted"
@@ -40,11 +40,11 @@
     running: {
       on: {
         attemptRetried: { target: "unassigned" },
-        upstreamSuspected: { target: "examining" },
+        upstreamSuspected: { target: "checkingForCrash" },
         finished: { target: "done" },
       },
     },
-    examining: {
+    checkingForCrash: {
       on: {
         attemptRetried: { target: "unassigned" },
         finished: { target: "done" },
--- a/src/core/execution/attempt_runner.ts
+++ b/src/core/execution/attempt_runner.ts
@@ -1,4 +1,7 @@
-/** Runs attempts: dispatches them, and completes, retries or refuses their requests by how they end. */
+/**
+ * Dispatches attempts, and completes, retries or refuses their requests
+ * according to the results.
+ */
 import type { CoreEvent } from "../events.ts";
 import {
   type AttemptResult,
@@ -18,7 +21,7 @@
 import type { RequestAssigner } from "./request_assigner.ts";
 import type { RequestFinisher } from "./request_finisher.ts";
 
-/** Status with which an engine says that it does not hold the adapter. */
+/** Status with which an engine responds if the adapter isn't loaded. */
 const NOT_RESIDENT_STATUS = 404;
 
 export class AttemptRunner {
@@ -51,7 +54,10 @@
     return this.#attempts.size;
   }
 
-  /** Takes the outcome of reading a lost attempt's upstream; returns false when it was not asked for here. */
+  /**
+   * Handles the result of a state read; returns false if it belongs to no crash
+   * check.
+   */
   handleStateRead(
     event: Extract<
       CoreEvent,
@@ -91,8 +97,9 @@
   }
 
   /**
-   * Starts an attempt under a credit, unless a peer has told meanwhile that the
-   * request crashes its upstreams.
+   * Starts an attempt with a credit. Frees the credit instead if the upstream
+   * has left the host list, or if the request was quarantined or became a
+   * suspect while it waited for the lease: a suspect needs an exclusive lease.
    */
   dispatch(
     request: LiveRequest,
@@ -131,7 +138,7 @@
     this.#attempts.set(attempt.attemptId, {
       ...attempt,
       request,
-      groupKey: groupKey,
+      groupKey,
     });
     this.#context.options.emit({
       kind: "dispatch",
@@ -165,12 +172,15 @@
   ): void {
     const mayStillRun = result.kind === "lost" || result.kind === "timedOut" ||
       result.kind === "wrongAdapter";
-    const { groupKey: groupKey, credit } = attempt;
+    const { groupKey, credit } = attempt;
     if (mayStillRun) this.#leases.abandonCredit(groupKey, credit.leaseId);
     else this.#leases.freeCredit(groupKey, credit.leaseId, now);
   }
 
-  /** Learns whether the upstream of a lost attempt died, before anything is retried. */
+  /**
+   * Starts a crash check of a lost attempt's upstream, which precedes any
+   * retry.
+   */
   #checkCrashIfLost(
     attempt: RunningAttempt,
     result: AttemptResult,
@@ -249,7 +259,11 @@
     }
   }
 
-  /** An engine without the adapter has restarted or lost it: its owner loads it again. */
+  /**
+   * Excludes an upstream that refused the request. An engine that answers that
+   * the adapter isn't loaded has restarted or lost it; its owner loads it
+   * again, so that the engine is excluded only for a time.
+   */
   #excludeAfterRefusal(
     attempt: RunningAttempt,
     status: number,
@@ -276,7 +290,10 @@
     this.#finisher.complete(request, now);
   }
 
-  /** Sends the request to another upstream, within its bounds, or refuses it. */
+  /**
+   * Retries the request on another upstream, or refuses it if its limits are
+   * used up.
+   */
   retry(request: LiveRequest, reason: RetryReason, now: Milliseconds): void {
     const { settings, quarantine, retryBudget } = this.#context.options;
     if (quarantine.isQuarantined(request.event.fingerprint, now)) {
@@ -310,7 +327,7 @@
   }
 }
 
-/** Returns whether the upstream never started the attempt. */
+/** Returns whether the upstream certainly did not start the request. */
 function isCertainlyNotRun(result: AttemptResult): boolean {
   switch (result.kind) {
     case "notSent":
--- a/src/core/execution/crash_detector.ts
+++ b/src/core/execution/crash_detector.ts
@@ -1,24 +1,34 @@
-/** Reads the upstream of a lost attempt, to learn whether it died under it. */
+/**
+ * Reads the state of a lost attempt's upstream, to tell whether it crashed
+ * during the attempt.
+ */
 import type { CoreEvent } from "../events.ts";
 import type { RetryReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { ExecutionContext } from "./execution_context.ts";
 import type { LiveAttempt, LiveRequest } from "./live_request.ts";
 
-/** An attempt in progress, with what it was started for. */
+/** An attempt in progress, with its request and lease group. */
 export interface RunningAttempt extends LiveAttempt {
   request: LiveRequest;
   groupKey: string;
 }
 
 interface CrashCheck extends RunningAttempt {
-  /** Absent once the request has had its final answer. */
+  /**
+   * Reason for the retry that follows; undefined if the request already has its
+   * final response.
+   */
   retry: RetryReason | undefined;
-  /** Readings that have been asked for. */
+  /** State reads started so far. */
   reads: number;
 }
 
-/** Readings asked for until one is answered, or refused because nobody listens. */
+/**
+ * Maximum number of state reads for one lost attempt. The check ends earlier
+ * when a read is answered, or when the connection is refused because no process
+ * listens.
+ */
 const MAX_READS = 3;
 
 export class CrashDetector {
@@ -42,7 +52,10 @@
     this.#retry = retry;
   }
 
-  /** Reads the upstream; returns false when it is in the host list no more. */
+  /**
+   * Starts the check; returns false if the upstream is no longer in the host
+   * list.
+   */
   checkForCrash(
     attempt: RunningAttempt,
     retry: RetryReason | undefined,
@@ -50,7 +63,10 @@
     return this.#readState({ ...attempt, retry, reads: 0 });
   }
 
-  /** Takes the outcome of reading a lost attempt's upstream; returns false when it was not asked for here. */
+  /**
+   * Handles the result of a state read; returns false if it belongs to no crash
+   * check.
+   */
   handleStateRead(
     event: Extract<
       CoreEvent,
@@ -83,8 +99,8 @@
   }
 
   /**
-   * Returns whether nothing else can have run on the upstream: the lease was
-   * for a run alone, and its granter has owned the upstream ever since.
+   * Returns whether no other request can have run on the upstream: the lease
+   * was exclusive, and the daemon that granted it still owns the upstream.
    */
   #hasRunAlone(crashCheck: CrashCheck): boolean {
     const { credit, upstreamId } = crashCheck;
--- a/src/core/execution/event_splitter.ts
+++ b/src/core/execution/event_splitter.ts
@@ -1,7 +1,7 @@
 /**
- * Cuts a stream of server-sent events at the ends of events, so that only whole
- * ones are passed on, and knows the id of the last one: a stream that breaks off
- * can go on at another upstream after it.
+ * Splits a stream of server-sent events at event boundaries, so that only
+ * complete events are forwarded, and keeps the id of the last one: a broken
+ * stream can resume after that event on another upstream.
  */
 import { Buffer } from "node:buffer";
 
@@ -11,21 +11,27 @@
 
 export class EventSplitter {
   #rest: Buffer = Buffer.alloc(0);
-  /** The last whole events that carry an id; parsed only when a stream has to go on elsewhere. */
+  /**
+   * The last complete events that contain an id; parsed only when the stream
+   * has to resume.
+   */
   #lastWithId: Buffer | undefined;
 
-  /** Id of the last whole event; undefined before the first one that has an id. */
+  /** Id of the last complete event that has one; undefined before the first. */
   get lastEventId(): string | undefined {
     const text = this.#lastWithId?.toString("latin1") ?? "";
     return [...text.matchAll(ID_LINE)].at(-1)?.[1];
   }
 
-  /** Bytes after the end of the last whole event. */
+  /** Number of buffered bytes of the incomplete event. */
   get restBytes(): number {
     return this.#rest.length;
   }
 
-  /** Takes bytes in and returns those up to the end of the last whole event. */
+  /**
+   * Adds a chunk, and returns the bytes up to the end of the last complete
+   * event.
+   */
   push(chunk: Buffer): Buffer {
     const bytes = this.#rest.length === 0
       ? chunk
@@ -35,13 +41,13 @@
       this.#rest = bytes;
       return Buffer.alloc(0);
     }
-    const whole = bytes.subarray(0, end + EVENT_END.length);
+    const events = bytes.subarray(0, end + EVENT_END.length);
     this.#rest = bytes.subarray(end + EVENT_END.length);
-    if (whole.includes(ID_FIELD)) this.#lastWithId = whole;
-    return whole;
+    if (events.includes(ID_FIELD)) this.#lastWithId = events;
+    return events;
   }
 
-  /** Returns the bytes after the last whole event, and forgets them. */
+  /** Removes and returns the bytes of the incomplete event. */
   takeRest(): Buffer {
     const rest = this.#rest;
     this.#rest = Buffer.alloc(0);
--- a/src/core/execution/execution_context.ts
+++ b/src/core/execution/execution_context.ts
@@ -1,4 +1,7 @@
-/** What the parts of the execution share: options, the requests in hand, identifiers and counters. */
+/**
+ * State that the parts of request execution share: options, open requests,
+ * identifiers and counters.
+ */
 import type { CorePolicy } from "../core_policy.ts";
 import type { CoreSettings } from "../core_settings.ts";
 import type { Effect } from "../effects.ts";
@@ -21,17 +24,17 @@
   tables: TableReplica;
   membership: Membership;
   quarantine: CrashQuarantine;
-  /** Tells peers of new strikes at once. */
+  /** Sends new strikes to the peers immediately. */
   publishStrikes: (now: Milliseconds) => void;
   retryBudget: RetryBudget;
   tickets: TicketIssuer;
   emit: (effect: Effect) => void;
 }
 
-/** Time after which a caller may come back when nothing better is known. */
+/** Retry-After value when no better estimate is known. */
 export const DEFAULT_RETRY_AFTER_MS = 1_000;
 
-/** What a refusal tells the caller besides its reason. */
+/** Fields of a refusal other than its reason. */
 export interface Refusal {
   hasStalled?: boolean;
   outcome: Outcome;
@@ -41,7 +44,7 @@
 
 export class ExecutionContext {
   readonly options: RequestExecutorOptions;
-  /** Requests that have no final answer yet, by identifier. */
+  /** Requests without a final response, by identifier. */
   readonly requests = new Map<string, LiveRequest>();
   readonly #ids: IdGenerator;
 
@@ -50,7 +53,7 @@
     this.#ids = new IdGenerator(options);
   }
 
-  /** Emits a final answer other than a completed one. */
+  /** Emits the final response of a request that did not complete. */
   emitRefusal(
     requestId: string,
     reason: RefusalReason,
@@ -70,7 +73,10 @@
     });
   }
 
-  /** Returns whether the request must run alone. */
+  /**
+   * Returns whether the request must run exclusively, as it is suspected of
+   * crashing upstreams.
+   */
   isSuspect(request: LiveRequest, now: Milliseconds): boolean {
     return this.options.quarantine.isSuspect(request.event.fingerprint, now);
   }
@@ -79,7 +85,7 @@
     this.options.emit({ kind: "count", counter: "retried", tag: reason });
   }
 
-  /** Returns an identifier that no other daemon or incarnation makes. */
+  /** Returns an identifier that is unique across daemons and incarnations. */
   createId(prefix: string): string {
     return this.#ids.createId(prefix);
   }
--- a/src/core/execution/lease_client.ts
+++ b/src/core/execution/lease_client.ts
@@ -1,7 +1,7 @@
 /**
- * The leases that this daemon holds or asks for, by upstream, adapter, longest
- * run and whether the run is alone. Asks owners for credits while requests wait,
- * repeats what is not answered and returns what is not used.
+ * Holder's side of the lease protocol. Groups leases by upstream, adapter, run
+ * time limit and exclusivity; requests credits from owners while requests wait,
+ * resends unanswered lease requests and returns idle credits.
  */
 import { getPriorityRank, type Milliseconds } from "../structures.ts";
 import type { LeaseGrantMessage, LeaseRefusalMessage } from "../messages.ts";
@@ -15,12 +15,12 @@
 import { LeaseGroupTable } from "./lease_group_table.ts";
 import type { LiveRequest } from "./live_request.ts";
 
-/** What the book asks of its surroundings. */
+/** Callbacks for requests that get a credit or are refused one. */
 export interface LeaseClientHandlers {
-  /** Starts an attempt under a credit. */
+  /** Starts an attempt with a credit. */
   dispatch(
     request: LiveRequest,
-    holdingKey: string,
+    groupKey: string,
     credit: TakenCredit,
     now: Milliseconds,
   ): void;
@@ -32,7 +32,10 @@
   ): void;
 }
 
-/** Granted leases remembered, to tell repeated grants from new ones. */
+/**
+ * Maximum number of granted lease ids that are remembered, to detect duplicate
+ * grants.
+ */
 const MAX_SEEN_LEASES = 65_536;
 
 export class LeaseClient {
@@ -40,7 +43,7 @@
   readonly #handlers: LeaseClientHandlers;
   readonly #groups = new LeaseGroupTable();
   readonly #groupKeysByLeaseRequest = new Map<string, string>();
-  /** Leases that were granted to this daemon, the latest last. */
+  /** Leases granted to this daemon, oldest first. */
   readonly #seenLeaseIds = new Set<string>();
 
   constructor(context: ExecutionContext, handlers: LeaseClientHandlers) {
@@ -52,7 +55,7 @@
     return this.#groups.countCredits();
   }
 
-  /** Lets the request wait for a credit on the upstream. */
+  /** Queues the request for a credit on the upstream. */
   addWaiting(
     request: LiveRequest,
     upstreamId: string,
@@ -60,156 +63,162 @@
   ): void {
     const exclusive = this.#context.isSuspect(request, now);
     const key = createGroupKey(request, upstreamId, exclusive);
-    let holding = this.#groups.get(key);
-    if (!holding) {
-      holding = new LeaseGroup(upstreamId, request.adapterKey);
-      this.#groups.add(key, holding);
+    let group = this.#groups.get(key);
+    if (!group) {
+      group = new LeaseGroup(upstreamId, request.adapterKey);
+      this.#groups.add(key, group);
     }
     request.apply("assigned");
     request.upstreamId = upstreamId;
-    holding.waitingRequestIds.push(request.id);
+    group.waitingRequestIds.push(request.id);
     this.dispatchWaiting(key, now);
   }
 
-  /** Frees the credit of a run that is certainly over. */
-  freeCredit(holdingKey: string, leaseId: string, now: Milliseconds): void {
-    this.#groups.get(holdingKey)?.freeCredit(leaseId, now);
+  /** Frees the credit of a run that has certainly ended. */
+  freeCredit(groupKey: string, leaseId: string, now: Milliseconds): void {
+    this.#groups.get(groupKey)?.freeCredit(leaseId, now);
   }
 
-  /** Forgets the credit of a run that may still go on. */
-  abandonCredit(holdingKey: string, leaseId: string): void {
-    this.#groups.get(holdingKey)?.abandonCredit(leaseId);
+  /** Drops the credit of a run that may still be in progress. */
+  abandonCredit(groupKey: string, leaseId: string): void {
+    this.#groups.get(groupKey)?.abandonCredit(leaseId);
   }
 
-  /** Drops every lease held, after a pause of this process. */
+  /** Drops all leases, after a pause of this process. */
   expireAll(): void {
-    for (const [, holding] of this.#groups.getAll()) {
-      this.#clearPending(holding);
-      holding.dropAll();
-      for (const requestId of holding.waitingRequestIds.splice(0)) {
+    for (const [, group] of this.#groups.getAll()) {
+      this.#clearPending(group);
+      group.dropAll();
+      for (const requestId of group.waitingRequestIds.splice(0)) {
         this.#context.requests.get(requestId)?.unassign();
         this.#context.countRetry(RetryReason.LeaseExpired);
       }
     }
   }
 
-  /** Asks again for what was not answered and returns idle credits. */
+  /** Resends unanswered lease requests and returns idle credits. */
   tick(now: Milliseconds): void {
-    for (const [key, holding] of this.#groups.getAll()) {
-      this.#tickGroup(key, holding, now);
+    for (const [key, group] of this.#groups.getAll()) {
+      this.#tickGroup(key, group, now);
     }
   }
 
-  /** Takes a grant; one that was not waited for is returned, a repeated one ignored. */
+  /**
+   * Handles a grant: a duplicate is ignored, one that is not awaited is
+   * returned.
+   */
   handleLeaseGrant(
     from: string,
     grant: LeaseGrantMessage,
     now: Milliseconds,
   ): void {
     const key = this.#groupKeysByLeaseRequest.get(grant.leaseRequestId);
-    const holding = key === undefined ? undefined : this.#groups.get(key);
+    const group = key === undefined ? undefined : this.#groups.get(key);
     if (this.#seenLeaseIds.has(grant.leaseId)) return;
     this.#rememberLease(grant.leaseId);
-    const isAwaited = holding?.pending?.leaseRequestId === grant.leaseRequestId;
-    if (key === undefined || !holding || !isAwaited) {
+    const isAwaited = group?.pending?.leaseRequestId === grant.leaseRequestId;
+    if (key === undefined || !group || !isAwaited) {
       this.#sendReturn(from, grant.upstreamId, {
         leaseId: grant.leaseId,
         returnedCredits: grant.credits,
       });
       return;
     }
-    this.#clearPending(holding);
+    this.#clearPending(group);
     const { leaseMarginMs } = this.#context.options.settings;
-    holding.addLease({ ...grant, ownerId: from }, leaseMarginMs, now);
-    if (grant.loaded) this.#markStalled(holding);
+    group.addLease({ ...grant, ownerId: from }, leaseMarginMs, now);
+    if (grant.loaded) this.#markStalled(group);
     this.dispatchWaiting(key, now);
   }
 
-  /** Hands the waiting requests back for another choice. */
+  /** Removes the waiting requests from their group, to be assigned again. */
   handleLeaseRefusal(refusal: LeaseRefusalMessage, now: Milliseconds): void {
     const key = this.#groupKeysByLeaseRequest.get(refusal.leaseRequestId);
-    const holding = key === undefined ? undefined : this.#groups.get(key);
-    if (!holding) return;
-    this.#clearPending(holding);
-    for (const requestId of holding.waitingRequestIds.splice(0)) {
+    const group = key === undefined ? undefined : this.#groups.get(key);
+    if (!group) return;
+    this.#clearPending(group);
+    for (const requestId of group.waitingRequestIds.splice(0)) {
       const request = this.#context.requests.get(requestId);
       if (request) this.#handlers.reassign(request, refusal, now);
     }
   }
 
-  #tickGroup(key: string, holding: LeaseGroup, now: Milliseconds): void {
+  #tickGroup(key: string, group: LeaseGroup, now: Milliseconds): void {
     const { settings } = this.#context.options;
-    this.#returnIdleCredits(holding, now);
-    const { pending } = holding;
+    this.#returnIdleCredits(group, now);
+    const { pending } = group;
     const isUnanswered = pending !== undefined &&
       now - pending.sentAt >= settings.leaseReplyTimeoutMs;
     if (isUnanswered) {
       const isOwnerReachable =
         pending.ownerId === this.#context.options.selfId ||
         this.#context.options.membership.isPeerLive(pending.ownerId);
-      if (isOwnerReachable) this.#sendLeaseRequest(key, holding, now);
-      else this.#handleOwnerUnreachable(holding);
+      if (isOwnerReachable) this.#sendLeaseRequest(key, group, now);
+      else this.#handleOwnerUnreachable(group);
     }
     this.dispatchWaiting(key, now);
-    if (holding.isUnused()) this.#groups.remove(key);
+    if (group.isUnused()) this.#groups.remove(key);
   }
 
-  #handleOwnerUnreachable(holding: LeaseGroup): void {
-    this.#clearPending(holding);
+  #handleOwnerUnreachable(group: LeaseGroup): void {
+    this.#clearPending(group);
     this.#context.countRetry(RetryReason.LeaseUnanswered);
-    for (const requestId of holding.waitingRequestIds.splice(0)) {
+    for (const requestId of group.waitingRequestIds.splice(0)) {
       const request = this.#context.requests.get(requestId);
       if (request) request.unassign();
     }
   }
 
-  /** Dispatches what the credits at hand allow and asks for the rest. */
+  /**
+   * Dispatches waiting requests to free credits, and requests credits for the
+   * rest.
+   */
   dispatchWaiting(key: string, now: Milliseconds): void {
-    const holding = this.#groups.get(key);
-    if (!holding) return;
+    const group = this.#groups.get(key);
+    if (!group) return;
     const exclusive = isExclusiveKey(key);
-    while (holding.waitingRequestIds.length > 0) {
-      const credit = holding.tryTakeCredit(exclusive, now);
+    while (group.waitingRequestIds.length > 0) {
+      const credit = group.tryTakeCredit(exclusive, now);
       if (!credit) break;
       const request = this.#context.requests.get(
-        holding.waitingRequestIds.shift() ?? "",
+        group.waitingRequestIds.shift() ?? "",
       );
       if (request) this.#handlers.dispatch(request, key, credit, now);
-      else holding.freeCredit(credit.leaseId, now);
+      else group.freeCredit(credit.leaseId, now);
     }
-    if (holding.waitingRequestIds.length === 0) return;
+    if (group.waitingRequestIds.length === 0) return;
     const wanted = Math.min(
-      holding.waitingRequestIds.length,
+      group.waitingRequestIds.length,
       this.#context.options.settings.maxLeaseCredits,
     );
-    const hasRequestedEnough = holding.pending !== undefined &&
-      (exclusive || holding.pending.credits >= wanted);
-    if (!hasRequestedEnough) this.#sendLeaseRequest(key, holding, now);
+    const hasRequestedEnough = group.pending !== undefined &&
+      (exclusive || group.pending.credits >= wanted);
+    if (!hasRequestedEnough) this.#sendLeaseRequest(key, group, now);
   }
 
   #sendLeaseRequest(
     key: string,
-    holding: LeaseGroup,
+    group: LeaseGroup,
     now: Milliseconds,
   ): void {
-    const requests = holding.waitingRequestIds
+    const requests = group.waitingRequestIds
       .map((id) => this.#context.requests.get(id))
       .filter((request) => request !== undefined);
     const first = requests[0];
     const view = this.#context.options.membership.getUpstreamView(
-      holding.upstreamId,
+      group.upstreamId,
     );
     if (!first || !view) return;
     const exclusive = isExclusiveKey(key);
-    const isRepeat = holding.pending?.ownerId === view.ownerId;
-    if (!isRepeat) this.#clearPending(holding);
-    const leaseRequestId = holding.pending?.leaseRequestId ??
+    const isResend = group.pending?.ownerId === view.ownerId;
+    if (!isResend) this.#clearPending(group);
+    const leaseRequestId = group.pending?.leaseRequestId ??
       this.#context.createId("leaseRequest");
     const credits = exclusive ? 1 : Math.min(
       requests.length,
       this.#context.options.settings.maxLeaseCredits,
     );
-    holding.pending = {
+    group.pending = {
       leaseRequestId,
       ownerId: view.ownerId,
       sentAt: now,
@@ -223,8 +232,8 @@
       message: {
         kind: "leaseRequest",
         leaseRequestId,
-        upstreamId: holding.upstreamId,
-        adapterKey: holding.adapterKey,
+        upstreamId: group.upstreamId,
+        adapterKey: group.adapterKey,
         credits,
         priorityRank: Math.min(
           ...requests.map((request) => getPriorityRank(request.route.priority)),
@@ -248,20 +257,23 @@
     if (oldest !== undefined) this.#seenLeaseIds.delete(oldest);
   }
 
-  /** Takes the request out of the holding in which it waits. */
+  /**
+   * Removes the request from the group that it waits in, and cancels the
+   * group's lease request if no other request waits there.
+   */
   detach(request: LiveRequest): void {
     if (request.state !== "leasing" || request.upstreamId === undefined) return;
     for (const exclusive of [false, true]) {
       const key = createGroupKey(request, request.upstreamId, exclusive);
-      const holding = this.#groups.get(key);
-      if (!holding) continue;
-      holding.removeWaiting(request.id);
-      if (holding.waitingRequestIds.length === 0) this.#cancelPending(holding);
+      const group = this.#groups.get(key);
+      if (!group) continue;
+      group.removeWaiting(request.id);
+      if (group.waitingRequestIds.length === 0) this.#cancelPending(group);
     }
   }
 
-  #cancelPending(holding: LeaseGroup): void {
-    const { pending } = holding;
+  #cancelPending(group: LeaseGroup): void {
+    const { pending } = group;
     if (!pending) return;
     this.#context.options.emit({
       kind: "send",
@@ -269,27 +281,27 @@
       message: {
         kind: "leaseCancel",
         leaseRequestId: pending.leaseRequestId,
-        upstreamId: holding.upstreamId,
+        upstreamId: group.upstreamId,
       },
     });
-    this.#clearPending(holding);
+    this.#clearPending(group);
   }
 
-  #clearPending(holding: LeaseGroup): void {
-    if (!holding.pending) return;
-    this.#groupKeysByLeaseRequest.delete(holding.pending.leaseRequestId);
-    holding.pending = undefined;
+  #clearPending(group: LeaseGroup): void {
+    if (!group.pending) return;
+    this.#groupKeysByLeaseRequest.delete(group.pending.leaseRequestId);
+    group.pending = undefined;
   }
 
-  #returnIdleCredits(holding: LeaseGroup, now: Milliseconds): void {
+  #returnIdleCredits(group: LeaseGroup, now: Milliseconds): void {
     const view = this.#context.options.membership.getUpstreamView(
-      holding.upstreamId,
+      group.upstreamId,
     );
-    const idleMs = holding.waitingRequestIds.length > 0
+    const idleMs = group.waitingRequestIds.length > 0
       ? Number.POSITIVE_INFINITY
       : this.#context.options.settings.leaseIdleMs;
-    for (const credits of holding.takeIdleCredits(idleMs, now)) {
-      if (view) this.#sendReturn(view.ownerId, holding.upstreamId, credits);
+    for (const credits of group.takeIdleCredits(idleMs, now)) {
+      if (view) this.#sendReturn(view.ownerId, group.upstreamId, credits);
     }
   }
 
@@ -305,14 +317,14 @@
     });
   }
 
-  #markStalled(holding: LeaseGroup): void {
-    for (const requestId of holding.waitingRequestIds) {
+  #markStalled(group: LeaseGroup): void {
+    for (const requestId of group.waitingRequestIds) {
       const request = this.#context.requests.get(requestId);
       if (request) request.hasStalled = true;
     }
   }
 
-  /** Returns the credits held or asked for on the upstream. */
+  /** Counts the credits held or requested on the upstream. */
   countLocalCredits(upstreamId: string): number {
     return this.#groups.countUpstreamCredits(upstreamId);
   }
@@ -321,8 +333,8 @@
 const EXCLUSIVE_PREFIX = "!";
 
 /**
- * Returns the key of the holding that can serve the request. A lease covers
- * runs of one longest time only, for its owner counts on that time.
+ * Returns the key of the group that can serve the request. A lease covers runs
+ * with one time limit only, since its owner relies on that limit.
  */
 function createGroupKey(
   request: LiveRequest,
--- a/src/core/execution/lease_group.ts
+++ b/src/core/execution/lease_group.ts
@@ -1,4 +1,7 @@
-/** Leases that this daemon holds for one adapter on one upstream, and the requests that wait for them. */
+/**
+ * Interchangeable leases that this daemon holds on one upstream, for one
+ * adapter and one run time limit, and the requests that wait for their credits.
+ */
 import type { LeaseGrantMessage } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
@@ -14,7 +17,7 @@
   upstreamIncarnation: string;
 }
 
-/** A credit taken for one run. */
+/** A credit in use by one run. */
 export interface TakenCredit {
   /** Daemon that granted the lease. */
   ownerId: string;
@@ -24,14 +27,14 @@
   upstreamIncarnation: string;
 }
 
-/** Credits to give back to the owner. */
+/** Credits to return to the owner. */
 export interface CreditReturn {
   leaseId: string;
-  /** Credits of the lease returned so far, these included. */
+  /** Total of the lease's credits returned so far, these included. */
   returnedCredits: number;
 }
 
-/** A lease request that has not been answered. */
+/** A lease request that the owner has not answered. */
 export interface PendingLeaseRequest {
   leaseRequestId: string;
   ownerId: string;
@@ -70,7 +73,9 @@
     });
   }
 
-  /** Takes a credit whose window is open. */
+  /**
+   * Takes a credit of a lease whose dispatch window is open, if there is one.
+   */
   tryTakeCredit(
     exclusive: boolean,
     now: Milliseconds,
@@ -91,7 +96,7 @@
     return undefined;
   }
 
-  /** Frees the credit of a run that is over. */
+  /** Frees the credit of a run that has ended. */
   freeCredit(leaseId: string, now: Milliseconds): void {
     const lease = this.#leases.get(leaseId);
     if (!lease || lease.running === 0) return;
@@ -100,7 +105,10 @@
     lease.idleSince = now;
   }
 
-  /** Forgets the credit of a run that may still go on; the owner waits for its end. */
+  /**
+   * Drops the credit of a run that may still be in progress, without returning
+   * it: the owner waits until the run must have ended.
+   */
   abandonCredit(leaseId: string): void {
     const lease = this.#leases.get(leaseId);
     if (!lease || lease.running === 0) return;
@@ -108,7 +116,10 @@
     this.#dropIfEmpty(lease);
   }
 
-  /** Removes and returns free credits that are idle, closed or of no more use. */
+  /**
+   * Removes and returns the free credits that are idle, past their dispatch
+   * window or exclusive.
+   */
   takeIdleCredits(idleMs: Milliseconds, now: Milliseconds): CreditReturn[] {
     const returns: CreditReturn[] = [];
     for (const lease of this.#leases.values()) {
@@ -126,7 +137,7 @@
     return returns;
   }
 
-  /** Drops every lease without returning it. */
+  /** Drops all leases without returning their credits. */
   dropAll(): void {
     this.#leases.clear();
     this.pending = undefined;
--- a/src/core/execution/lease_group_table.ts
+++ b/src/core/execution/lease_group_table.ts
@@ -1,4 +1,4 @@
-/** The holdings of leases by their key, with an index by upstream. */
+/** The lease groups by key, with an index by upstream. */
 import type { LeaseGroup } from "./lease_group.ts";
 
 export class LeaseGroupTable {
@@ -9,20 +9,20 @@
     return this.#byKey.get(key);
   }
 
-  add(key: string, holding: LeaseGroup): void {
-    this.#byKey.set(key, holding);
-    const known = this.#byUpstream.get(holding.upstreamId);
-    if (known) known.add(holding);
-    else this.#byUpstream.set(holding.upstreamId, new Set([holding]));
+  add(key: string, group: LeaseGroup): void {
+    this.#byKey.set(key, group);
+    const groups = this.#byUpstream.get(group.upstreamId);
+    if (groups) groups.add(group);
+    else this.#byUpstream.set(group.upstreamId, new Set([group]));
   }
 
   remove(key: string): void {
-    const holding = this.#byKey.get(key);
-    if (!holding) return;
+    const group = this.#byKey.get(key);
+    if (!group) return;
     this.#byKey.delete(key);
-    const known = this.#byUpstream.get(holding.upstreamId);
-    known?.delete(holding);
-    if (known?.size === 0) this.#byUpstream.delete(holding.upstreamId);
+    const groups = this.#byUpstream.get(group.upstreamId);
+    groups?.delete(group);
+    if (groups?.size === 0) this.#byUpstream.delete(group.upstreamId);
   }
 
   getAll(): Iterable<[string, LeaseGroup]> {
@@ -33,14 +33,14 @@
     return sumCredits(this.#byKey.values());
   }
 
-  /** Returns the credits held or asked for on the upstream. */
+  /** Counts the credits held or requested on the upstream. */
   countUpstreamCredits(upstreamId: string): number {
     return sumCredits(this.#byUpstream.get(upstreamId) ?? []);
   }
 }
 
-function sumCredits(holdings: Iterable<LeaseGroup>): number {
+function sumCredits(groups: Iterable<LeaseGroup>): number {
   let credits = 0;
-  for (const holding of holdings) credits += holding.countCredits();
+  for (const group of groups) credits += group.countCredits();
   return credits;
 }
--- a/src/core/execution/live_request.ts
+++ b/src/core/execution/live_request.ts
@@ -1,4 +1,4 @@
-/** A request that its entry daemon has accepted and not yet answered. */
+/** A request that this daemon has accepted and not yet answered. */
 import {
   requestChart,
   type RequestState,
@@ -28,8 +28,11 @@
   sentAt: Milliseconds;
 }
 
-/** An attempt that was lost, while the upstream's state is read to learn whether it died. */
-export interface Examination {
+/**
+ * A lost attempt whose upstream's state is being read, to tell whether the
+ * upstream crashed.
+ */
+export interface PendingCrashCheck {
   readId: string;
   attempt: LiveAttempt;
   result: AttemptResult;
@@ -42,28 +45,33 @@
   readonly adapterKey: string;
   readonly tablesRevision: number;
   readonly arrivedAt: Milliseconds;
-  /** Time by which the next run must have started. */
+  /** Time by which the next attempt must start. */
   deadlineAt: Milliseconds;
   readonly excludedUpstreams = new UpstreamExclusions();
   attempts = 0;
   loadFailures = 0;
-  /** Whether an owner has sent the request on to another upstream. */
+  /** Whether an owner has redirected the request to another upstream. */
   hasBeenRedirected = false;
-  /** Whether the adapter is resident elsewhere and a further copy is wanted. */
+  /**
+   * Whether the adapter is resident on another upstream and an additional copy
+   * is wanted.
+   */
   wantsCopy = false;
-  /** Since when no upstream has been ready; undefined while one is. */
+  /** Time since which no upstream has been ready; undefined while one is. */
   noUpstreamSince: Milliseconds | undefined;
   hasStalled = false;
-  /** Whether the upstream to which the request is assigned has yet to load the adapter. */
+  /** Whether the assigned upstream still has to load the adapter. */
   awaitsLoad = false;
-  /** Whether an attempt ended of which it is not certain that it did not run. */
+  /** Whether an earlier attempt may have run. */
   mayHaveRun = false;
   claim: TicketClaim | undefined;
-  /** Upstream to whose holding the request is assigned. */
+  /** Upstream whose lease group the request waits in or runs under. */
   upstreamId: string | undefined;
   attempt: LiveAttempt | undefined;
-  examination: Examination | undefined;
-  /** Answer of the last attempt, kept for the ticket. */
+  crashCheck: PendingCrashCheck | undefined;
+  /**
+   * Response of the last attempt, stored with the ticket when it is settled.
+   */
   answer: StoredAnswerStructure | undefined;
   #state: RequestState;
 
@@ -93,19 +101,23 @@
     return this.#state;
   }
 
-  /** Takes the request off its upstream when it has no lease there. */
+  /**
+   * Removes the assignment to an upstream, when no lease was obtained there.
+   */
   unassign(): void {
     if (this.#state === "leasing") this.apply("leaseLost");
     this.upstreamId = undefined;
   }
 
-  /** Returns whether the request has waited for a load or waits for one. */
+  /**
+   * Returns whether the request has waited, or is waiting, for an adapter load.
+   */
   isStalled(): boolean {
     const isWaiting = this.#state === "leasing" || this.#state === "unassigned";
     return this.hasStalled || (this.awaitsLoad && isWaiting);
   }
 
-  /** Moves the request along its chart. */
+  /** Applies a transition of the request's state chart. */
   apply(trigger: RequestTrigger): void {
     this.#state = requestChart.getNextOrThrow(this.#state, trigger);
   }
--- a/src/core/execution/request_assigner.ts
+++ b/src/core/execution/request_assigner.ts
@@ -1,4 +1,7 @@
-/** Assigns requests to upstreams, and again when an owner refuses the lease. */
+/**
+ * Assigns requests to upstreams, and reassigns them when an owner refuses the
+ * lease.
+ */
 import type { LeaseRefusalMessage } from "../messages.ts";
 import {
   LeaseRefusalReason,
@@ -27,17 +30,20 @@
 import type { RequestFinisher } from "./request_finisher.ts";
 import type { UpstreamExclusions } from "./upstream_exclusions.ts";
 
-/** Time for which a request waits while no upstream of its pool is ready. */
+/** Maximum time that a request waits while no upstream of its pool is ready. */
 const UPSTREAM_WAIT_MS = 3_000;
 
-/** What upstreams are ranked for. */
+/** The pool, adapter and exclusions for which upstreams are ranked. */
 interface RankTarget {
   pool: PoolStructure;
   adapterKey: string;
   excluded: UpstreamExclusions;
 }
 
-/** Wait before a redirection that counts as waiting for a load. */
+/**
+ * Time after arrival from which a redirection counts as a stall for an adapter
+ * load.
+ */
 const REDIRECT_STALL_MS = 50;
 
 export class RequestAssigner {
@@ -54,12 +60,14 @@
     this.#finisher = parts.finisher;
   }
 
-  /** Assigns the request to the best upstream, or refuses it when none is left. */
+  /**
+   * Assigns the request to the best upstream, or refuses it when none is left.
+   */
   assign(request: LiveRequest, now: Milliseconds): void {
     const ranked = this.#rankForRequest(request, now);
     const best = ranked[0];
     if (!best) {
-      this.#handleNoUpstream(request, now);
+      this.#waitOrRefuse(request, now);
       return;
     }
     request.noUpstreamSince = undefined;
@@ -71,8 +79,11 @@
     this.#leases.addWaiting(request, best.candidate.host.id, now);
   }
 
-  /** Lets the request wait a while, unless an upstream has turned it away for good. */
-  #handleNoUpstream(request: LiveRequest, now: Milliseconds): void {
+  /**
+   * Leaves the request waiting for a limited time, then refuses it. Refuses it
+   * at once if an upstream is permanently excluded for it.
+   */
+  #waitOrRefuse(request: LiveRequest, now: Milliseconds): void {
     request.noUpstreamSince ??= now;
     const mayBecomeReady = !request.excludedUpstreams.hasPermanent() &&
       now - request.noUpstreamSince < UPSTREAM_WAIT_MS;
@@ -83,7 +94,7 @@
     }, now);
   }
 
-  /** Returns the upstreams that could serve the adapter now, best first. */
+  /** Returns the upstreams that can serve the adapter now, best first. */
   rank(
     pool: PoolStructure,
     adapterKey: string,
@@ -94,7 +105,10 @@
     return this.#rankHosts(hosts, { pool, adapterKey, excluded }, now);
   }
 
-  /** Ranks a shortlist, and the whole pool where nothing on it is ready. */
+  /**
+   * Ranks a shortlist of the pool, or the whole pool if nothing on the list is
+   * ready.
+   */
   #rankForRequest(request: LiveRequest, now: Milliseconds): RankedUpstream[] {
     const { pool, adapterKey, excludedUpstreams: excluded } = request;
     const { membership } = this.#context.options;
@@ -137,7 +151,10 @@
     });
   }
 
-  /** Keeps the request from an upstream until its owner has read its state anew. */
+  /**
+   * Excludes an upstream until its owner has had time to read the upstream's
+   * state again.
+   */
   excludeTemporarily(
     request: LiveRequest,
     upstreamId: string,
@@ -153,7 +170,10 @@
     return now + 2 * this.#context.options.settings.stateReadIntervalMs;
   }
 
-  /** Finds another upstream for a request whose lease was refused. */
+  /**
+   * Handles the refusal of a lease: waits, tries another upstream or refuses
+   * the request.
+   */
   reassignRefused(
     request: LiveRequest,
     refusal: LeaseRefusalMessage,
@@ -190,7 +210,8 @@
         this.#leases.addWaiting(request, refusal.redirectUpstreamId, now);
         return;
       case LeaseRefusalReason.DeadlineUnreachable:
-        // The weight store is the same for every upstream.
+        // All upstreams load from the same weight store, so another one would
+        // not meet the deadline either.
         this.#finisher.refuse(request, RefusalReason.DeadlineUnreachable, {
           outcome: Outcome.NotRun,
           retryAfterMs: refusal.retryAfterMs,
@@ -220,7 +241,7 @@
   }
 }
 
-/** Returns the reason under which a refused lease is counted as a retry. */
+/** Returns the retry reason that is counted for a refused lease. */
 function getRetryReason(reason: LeaseRefusalReason): RetryReason {
   switch (reason) {
     case LeaseRefusalReason.NotOwner:
--- a/src/core/execution/request_executor.ts
+++ b/src/core/execution/request_executor.ts
@@ -1,7 +1,7 @@
 /**
- * Carries each accepted request from its arrival to its one final answer:
- * ticket, choice of an upstream, lease, attempt, retry or refusal. A facade
- * over the parts that do each of these.
+ * Executes each accepted request from its arrival to its single final response:
+ * ticket claim, upstream selection, lease, attempt, retry or refusal. A facade
+ * over the classes that perform these steps.
  */
 import type { CoreEvent, RequestArrivedEvent } from "../events.ts";
 import type {
@@ -57,7 +57,7 @@
     const finisher = new RequestFinisher(context, { leases, tickets });
     const assigner = new RequestAssigner(context, {
       leases,
-      finisher: finisher,
+      finisher,
     });
     this.#context = context;
     this.#leases = leases;
@@ -67,11 +67,14 @@
     this.#runner = new AttemptRunner(context, {
       leases,
       assigner,
-      finisher: finisher,
+      finisher,
     });
   }
 
-  /** Returns whether nothing is left that a stop would cut off. */
+  /**
+   * Returns whether no request, attempt or settlement is pending that a
+   * shutdown would interrupt.
+   */
   isDrained(): boolean {
     return this.#context.requests.size === 0 &&
       this.#runner.countAttempts() === 0 && this.#tickets.isSettled();
@@ -85,7 +88,7 @@
     };
   }
 
-  /** Returns how the upstreams rank for a route now. */
+  /** Returns the current ranking of the upstreams for a route. */
   explainRoute(route: RouteStructure, now: Milliseconds): RankedUpstream[] {
     const pool = this.#context.options.tables.getSnapshot()
       ?.getPool(route.pool);
@@ -121,7 +124,10 @@
     this.#tickets.handleTicketVerdict(from, verdict, now);
   }
 
-  /** Takes the outcome of reading a lost attempt's upstream; returns false when it was not asked for here. */
+  /**
+   * Handles the result of a state read; returns false if it belongs to no crash
+   * check.
+   */
   handleStateRead(
     event: Extract<
       CoreEvent,
@@ -132,13 +138,16 @@
     return this.#runner.handleStateRead(event, now);
   }
 
-  /** Drops every lease held, after a pause of this process. */
+  /** Drops all leases, after a pause of this process. */
   expireLeases(now: Milliseconds): void {
     this.#leases.expireAll();
     this.tick(now);
   }
 
-  /** Gives up what is overdue, asks again for what was not answered and returns idle credits. */
+  /**
+   * Refuses overdue requests, resends unanswered messages and returns idle
+   * credits.
+   */
   tick(now: Milliseconds): void {
     for (const request of this.#context.requests.values()) {
       this.#tickRequest(request, now);
@@ -147,7 +156,7 @@
     this.#tickets.tick(now);
   }
 
-  /** Accepts the request, or refuses it at once. */
+  /** Accepts the request, or refuses it immediately. */
   handleArrival(event: RequestArrivedEvent, now: Milliseconds): void {
     const { settings, quarantine } = this.#context.options;
     const tables = this.#context.options.tables.getSnapshot();
@@ -195,7 +204,11 @@
     else this.#tickets.claimTicket(request, now);
   }
 
-  /** A caller that went away: its idempotent work is cancelled, other work ends and is kept. */
+  /**
+   * Handles a caller that has disconnected. A running non-idempotent request
+   * runs to its end, so that its answer is stored with the ticket; any other
+   * request is ended, and its attempt is cancelled.
+   */
   handleCallerGone(requestId: string, now: Milliseconds): void {
     const request = this.#context.requests.get(requestId);
     if (!request) return;
@@ -207,7 +220,8 @@
       });
     }
     const hasRun = request.state === "running" ||
-      request.state === "examining" || request.state === "claimingTicket";
+      request.state === "checkingForCrash" ||
+      request.state === "claimingTicket";
     this.#finisher.refuse(request, RefusalReason.CallerGone, {
       outcome: hasRun ? Outcome.MayHaveRun : Outcome.NotRun,
     }, now);
@@ -226,7 +240,7 @@
         if (now >= request.deadlineAt) this.#refuseOverdue(request, now);
         break;
       case "running":
-      case "examining":
+      case "checkingForCrash":
       case "done":
         break;
     }
--- a/src/core/execution/request_finisher.ts
+++ b/src/core/execution/request_finisher.ts
@@ -1,4 +1,7 @@
-/** Gives each request its one final answer. */
+/**
+ * Ends requests: emits the single final response and releases what the request
+ * held.
+ */
 import { Outcome, type RefusalReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
 import type { ExecutionContext, Refusal } from "./execution_context.ts";
@@ -20,7 +23,7 @@
     this.#tickets = parts.tickets;
   }
 
-  /** Ends a request whose answer has been forwarded whole. */
+  /** Ends a request whose response has been forwarded completely. */
   complete(request: LiveRequest, now: Milliseconds): void {
     this.#tickets.settle(request, now);
     request.apply("finished");
@@ -29,8 +32,8 @@
   }
 
   /**
-   * Gives the request a final answer other than a completed one. An earlier
-   * attempt that may have run outweighs the outcome of the last step.
+   * Ends a request that did not complete. If an earlier attempt may have run,
+   * the outcome is "may have run", even if the last attempt certainly did not.
    */
   refuse(
     request: LiveRequest,
--- a/src/core/execution/retry_decision.ts
+++ b/src/core/execution/retry_decision.ts
@@ -1,24 +1,28 @@
 /**
- * Decides what follows an attempt at an upstream: deliver its answer, try
- * another upstream, or tell the caller how it ended. A request that may have
- * run is repeated only if it is idempotent, and is never called not run.
+ * Decides what follows an attempt on an upstream: deliver the response, try
+ * another upstream, or report the outcome to the caller. A request that may
+ * have run is retried only if it is idempotent, and is never reported as not
+ * run.
  */
 import { Repeatability } from "../view/published_view.ts";
 import type { Milliseconds } from "../structures.ts";
 
 /** How an attempt ended. */
 export const AttemptOutcome = {
-  /** A whole answer that is the upstream's own. */
+  /** The upstream sent a complete response. */
   Answered: "answered",
-  /** A whole answer that says that the upstream failed. */
+  /** The upstream sent a complete response with a server error (5xx). */
   Failed: "failed",
-  /** Promised not to have run. */
+  /** The upstream guaranteed that it did not run the request. */
   NotRun: "notRun",
-  /** Nothing was sent. */
+  /** No byte of the request was sent. */
   NotSent: "notSent",
-  /** The connection broke, or the answer belongs to nobody. */
+  /**
+   * The connection broke, or the response was rejected: for another request,
+   * not stamped by the upstream, or too long.
+   */
   Lost: "lost",
-  /** No answer came in the time given to this attempt. */
+  /** No response head arrived within the time limit of the attempt. */
   TimedOut: "silent",
 } as const;
 export type AttemptOutcome =
@@ -27,26 +31,29 @@
 export type RetryDecision =
   | { kind: "deliver" }
   | { kind: "tryAnother" }
-  /** Answer that the request has not run. */
+  /** Tell the caller that the request was not run. */
   | { kind: "refuse" }
-  /** Answer that the request may have run. */
+  /** Tell the caller that the request may have run. */
   | { kind: "fail"; isTimeout: boolean };
 
 export interface RetryConditions {
   outcome: AttemptOutcome;
   repeatability: Repeatability;
   isResumable: boolean;
-  /** Upstreams on which the request may have run, this one included. */
+  /** Attempts in which the request may have run, this one included. */
   possibleRuns: number;
   maxAttempts: number;
-  /** Attempts of any kind so far. */
+  /** Attempts so far, also those that certainly did not run. */
   totalAttempts: number;
   remainingMs: Milliseconds;
 }
 
-/** Attempts of any kind for one request: rejections do not count as runs, but they cost. */
+/**
+ * Maximum number of attempts for one request. Rejected attempts don't count as
+ * runs, but they have a cost, too.
+ */
 const MAX_TOTAL_ATTEMPTS = 4;
-/** Time below which another attempt can't be answered. */
+/** Minimum remaining time in which another attempt can still be answered. */
 const MIN_REMAINING_MS = 60;
 
 export function isIdempotent(
@@ -63,13 +70,15 @@
   }
 }
 
-/** @param trySpendRetry spends one repeat of the shared budget, if there is one. */
+/**
+ * @param trySpendRetry Takes one retry from the retry budget, if it has one
+ * left.
+ */
 export function decideRetry(
   conditions: RetryConditions,
   trySpendRetry: () => boolean,
 ): RetryDecision {
-  const { outcome, possibleRuns: ranAttempts, maxAttempts, remainingMs } =
-    conditions;
+  const { outcome, possibleRuns, maxAttempts, remainingMs } = conditions;
   const canRetry = isIdempotent(
     conditions.repeatability,
     conditions.isResumable,
@@ -80,7 +89,7 @@
     case AttemptOutcome.Answered:
       return { kind: "deliver" };
     case AttemptOutcome.Failed:
-      return canRetry && hasTime && ranAttempts < maxAttempts &&
+      return canRetry && hasTime && possibleRuns < maxAttempts &&
           trySpendRetry()
         ? { kind: "tryAnother" }
         : { kind: "deliver" };
@@ -90,13 +99,13 @@
       if (hasTime && (!wasReceived || trySpendRetry())) {
         return { kind: "tryAnother" };
       }
-      return ranAttempts === 0
+      return possibleRuns === 0
         ? { kind: "refuse" }
         : { kind: "fail", isTimeout: false };
     }
     case AttemptOutcome.Lost:
     case AttemptOutcome.TimedOut:
-      return canRetry && hasTime && ranAttempts < maxAttempts &&
+      return canRetry && hasTime && possibleRuns < maxAttempts &&
           trySpendRetry()
         ? { kind: "tryAnother" }
         : { kind: "fail", isTimeout: outcome === AttemptOutcome.TimedOut };
--- a/src/core/execution/ticket_admission.ts
+++ b/src/core/execution/ticket_admission.ts
@@ -1,4 +1,7 @@
-/** Admits requests that must run at most once: claims their tickets at the home and settles the claims. */
+/**
+ * Admits requests that must run at most once: claims each request's ticket at
+ * the daemon that issued it, and settles the claim when the request ends.
+ */
 import { ClaimVerdict, type TicketVerdictMessage } from "../messages.ts";
 import { Outcome, RefusalReason } from "../outcomes.ts";
 import type { Milliseconds } from "../structures.ts";
@@ -11,9 +14,9 @@
 import { parseTicket } from "./ticket_issuer.ts";
 import { TicketSettler } from "./ticket_settler.ts";
 
-/** What the admission asks of its surroundings. */
+/** Callbacks for the result of a claim. */
 export interface TicketAdmissionHandlers {
-  /** Goes on with a request whose ticket was granted. */
+  /** Continues a request whose claim was granted. */
   admit(request: LiveRequest, now: Milliseconds): void;
   refuse(
     request: LiveRequest,
@@ -34,12 +37,14 @@
     this.#settler = new TicketSettler(context.options.emit);
   }
 
-  /** Returns whether every home has acknowledged what it was told. */
+  /**
+   * Returns whether every issuer has acknowledged the settlements sent to it.
+   */
   isSettled(): boolean {
     return this.#settler.isEmpty();
   }
 
-  /** Repeats what homes have not acknowledged. */
+  /** Resends the settlements that issuers have not acknowledged. */
   tick(now: Milliseconds): void {
     this.#settler.tick(now);
   }
@@ -59,7 +64,7 @@
     }
   }
 
-  /** Repeats an unanswered claim, or gives it up at the deadline. */
+  /** Resends an unanswered claim; refuses the request at its deadline. */
   tickClaim(request: LiveRequest, now: Milliseconds): void {
     if (!request.claim) return;
     if (now >= request.deadlineAt) {
@@ -74,7 +79,7 @@
     if (isUnanswered) this.#sendClaim(request, now);
   }
 
-  /** Asks the ticket's home for the one run. */
+  /** Asks the ticket's issuer for the right to run the request. */
   claimTicket(request: LiveRequest, now: Milliseconds): void {
     const ticket = request.event.ticket ?? "";
     const parsed = parseTicket(ticket);
@@ -88,9 +93,9 @@
       }, now);
       return;
     }
-    const { issuerId: homeId } = parsed;
-    const isReachable = homeId === this.#context.options.selfId ||
-      this.#context.options.membership.canReachPeer(homeId);
+    const { issuerId } = parsed;
+    const isReachable = issuerId === this.#context.options.selfId ||
+      this.#context.options.membership.canReachPeer(issuerId);
     if (!isReachable) {
       this.#handlers.refuse(request, RefusalReason.TicketHomeUnreachable, {
         outcome: Outcome.MayHaveRun,
@@ -101,7 +106,7 @@
     request.claim = {
       claimId: this.#context.createId("claim"),
       ticket,
-      issuerId: homeId,
+      issuerId,
       sentAt: now,
     };
     this.#sendClaim(request, now);
@@ -185,7 +190,7 @@
     });
   }
 
-  /** Tells the home that the run was completed. */
+  /** Settles the claim of a completed run. */
   settle(request: LiveRequest, now: Milliseconds): void {
     if (!request.claim) return;
     const answer = request.answer ?? {
@@ -198,7 +203,10 @@
     this.#settler.settle(request.claim, request.event.customer, answer, now);
   }
 
-  /** Tells the home how a claim ended that was not completed. */
+  /**
+   * Settles the claim of a refused or failed request. A claim whose verdict is
+   * outstanding is abandoned; one whose request did not run is released.
+   */
   settleRefused(
     request: LiveRequest,
     outcome: Outcome,
--- a/src/core/execution/ticket_issuer.ts
+++ b/src/core/execution/ticket_issuer.ts
@@ -1,7 +1,8 @@
 /**
- * Tickets of non-idempotent requests. A ticket names the daemon and the
- * incarnation that minted it; only that incarnation can grant the one run.
- * What it no longer remembers it never grants again.
+ * Issues the tickets of non-idempotent requests and decides on claims to them.
+ * A ticket names the daemon and the incarnation that issued it; only that
+ * incarnation can grant the single run. A ticket that it no longer has on
+ * record is never granted.
  */
 import { Buffer } from "node:buffer";
 import { createHmac, timingSafeEqual } from "node:crypto";
@@ -18,11 +19,11 @@
 export interface TicketIssuerOptions {
   selfId: string;
   incarnation: string;
-  /** Key of the check codes, drawn anew by each incarnation. */
+  /** HMAC key of the ticket signatures; generated anew for each incarnation. */
   secret: Uint8Array;
   lifetimeMs: Milliseconds;
   maxTickets: number;
-  /** Age beyond which an unsettled claim is answered as one that may have run. */
+  /** Age from which an unsettled claim is reported as one that may have run. */
   claimTimeoutMs: Milliseconds;
 }
 
@@ -33,14 +34,16 @@
 
 interface TicketRecord {
   customer: string;
-  /** Fingerprint of the first call; undefined before it. */
+  /**
+   * Fingerprint of the first request that claimed the ticket; undefined before.
+   */
   fingerprint: string | undefined;
   issuedAt: Milliseconds;
   expiresAt: Milliseconds;
   phase: TicketPhase;
 }
 
-/** The parts of a ticket. */
+/** The fields that a ticket encodes. */
 export interface ParsedTicket {
   issuerId: string;
   incarnation: string;
@@ -50,23 +53,24 @@
 
 const SEPARATOR = "~";
 const SIGNATURE_LENGTH = 22;
-/** Time within which a caller is expected to use its ticket. */
+/** Time within which a caller is expected to use a new ticket. */
 const FRESH_TICKET_MS = 2_000;
 
-/** Splits a ticket into its parts; returns undefined when it is none. */
+/** Parses a ticket; returns undefined if it is malformed. */
 export function parseTicket(ticket: string): ParsedTicket | undefined {
-  const [homeId, incarnation, sequenceText, check, ...rest] = ticket.split(
-    SEPARATOR,
-  );
-  if (!homeId || !incarnation || !sequenceText || !check || rest.length > 0) {
+  const [issuerId, incarnation, sequenceText, signature, ...rest] = ticket
+    .split(SEPARATOR);
+  if (
+    !issuerId || !incarnation || !sequenceText || !signature || rest.length > 0
+  ) {
     return undefined;
   }
   const sequence = Number(sequenceText);
   if (!Number.isSafeInteger(sequence) || sequence < 1) return undefined;
-  return { issuerId: homeId, incarnation, sequence, signature: check };
+  return { issuerId, incarnation, sequence, signature };
 }
 
-/** Returns the answer that stands for a run of which no end is known. */
+/** Returns the stored answer for a run whose outcome is unknown. */
 export function createUncertainAnswer(): StoredAnswerStructure {
   return {
     outcome: Outcome.MayHaveRun,
@@ -86,7 +90,6 @@
     this.#options = options;
   }
 
-  /** Mints a ticket for the customer. */
   issueTicket(customer: string, now: Milliseconds): string {
     this.#dropExpired(now);
     this.#lastSequence += 1;
@@ -99,11 +102,11 @@
       phase: { kind: "open" },
     });
     const { selfId, incarnation } = this.#options;
-    const check = this.#computeSignature(sequence, customer);
-    return [selfId, incarnation, sequence, check].join(SEPARATOR);
+    const signature = this.#computeSignature(sequence, customer);
+    return [selfId, incarnation, sequence, signature].join(SEPARATOR);
   }
 
-  /** Decides whether the claimant may run the request. */
+  /** Decides whether the claiming daemon may run the request. */
   claimTicket(
     claim: TicketClaimMessage,
     now: Milliseconds,
@@ -142,7 +145,10 @@
     }
   }
 
-  /** Records the end of a claimed run, or releases a claim that did not run. */
+  /**
+   * Records the outcome of a claimed run, or releases a claim whose request did
+   * not run.
+   */
   settleTicket(settle: TicketSettleMessage, now: Milliseconds): void {
     const record = this.#findRecord(settle.ticket, settle.customer, now);
     if (typeof record === "string") return;
@@ -155,9 +161,10 @@
   }
 
   /**
-   * Returns whether a stop now would leave a caller uncertain: a run goes on
-   * under a ticket, or a ticket has just been given out. A claim older than
-   * the longest use was lost with its claimant.
+   * Returns whether a shutdown now would leave a caller without a definite
+   * outcome: a request is running under a ticket, or a ticket has just been
+   * issued. A claim older than maxUseMs counts as lost with the daemon that
+   * made it.
    */
   hasTicketsInUse(maxUseMs: Milliseconds, now: Milliseconds): boolean {
     for (const record of this.#records.values()) {
--- a/src/core/execution/ticket_settler.ts
+++ b/src/core/execution/ticket_settler.ts
@@ -1,7 +1,8 @@
 /**
- * Tells tickets' homes how claims ended, and repeats it until the home has
- * answered. A claim that was given up unanswered is released if it turns out
- * to have been granted, for nothing was run under it.
+ * Reports the outcome of claims to the tickets' issuers, and resends each
+ * report until the issuer acknowledges it. A claim that was abandoned before
+ * its verdict arrived is released if the verdict is a grant, since no request
+ * ran under it.
  */
 import type { Effect } from "../effects.ts";
 import {
@@ -21,9 +22,15 @@
 }
 
 const RESEND_INTERVAL_MS = 500;
-/** Time after which a home that does not answer is given up. */
+/**
+ * Time after which a settlement is no longer resent to an issuer that doesn't
+ * acknowledge it.
+ */
 const SETTLE_TIMEOUT_MS = 10_000;
-/** Abandoned claims remembered at once. */
+/**
+ * Maximum number of abandoned claims that are remembered; the oldest are
+ * dropped.
+ */
 const MAX_ABANDONED = 10_000;
 
 export class TicketSettler {
@@ -39,7 +46,7 @@
     return this.#pending.size === 0;
   }
 
-  /** Settles a granted claim; without an answer the claim is released. */
+  /** Settles a granted claim; without an answer, the claim is released. */
   settle(
     claim: TicketClaim,
     customer: string,
@@ -60,13 +67,13 @@
       sentAt: now,
     };
     this.#pending.set(claim.claimId, pending);
-    if (!answer) this.#remember(message);
+    if (!answer) this.#rememberAbandoned(message);
     this.#emit({ kind: "send", to: claim.issuerId, message });
   }
 
-  /** Remembers a claim that was given up before its verdict came. */
+  /** Records that a claim was abandoned before its verdict arrived. */
   abandon(claim: TicketClaim, customer: string): void {
-    this.#remember({
+    this.#rememberAbandoned({
       kind: "ticketSettle",
       claimId: claim.claimId,
       ticket: claim.ticket,
@@ -74,7 +81,10 @@
     });
   }
 
-  /** Takes a verdict: the home's acknowledgement, or the late grant of an abandoned claim. */
+  /**
+   * Handles a verdict: an acknowledgement, or the late grant of an abandoned
+   * claim.
+   */
   recordVerdict(from: string, verdict: TicketVerdictMessage): void {
     if (verdict.verdict !== ClaimVerdict.Granted) {
       this.#pending.delete(verdict.claimId);
@@ -84,7 +94,7 @@
     if (message) this.#emit({ kind: "send", to: from, message });
   }
 
-  /** Repeats what has not been acknowledged. */
+  /** Resends unacknowledged settlements. */
   tick(now: Milliseconds): void {
     for (const [claimId, pending] of this.#pending) {
       if (now - pending.firstSentAt >= SETTLE_TIMEOUT_MS) {
@@ -101,7 +111,7 @@
     }
   }
 
-  #remember(message: TicketSettleMessage): void {
+  #rememberAbandoned(message: TicketSettleMessage): void {
     this.#abandoned.set(message.claimId, message);
     if (this.#abandoned.size <= MAX_ABANDONED) return;
     const [oldest] = this.#abandoned.keys();
--- a/src/core/execution/upstream_exclusions.ts
+++ b/src/core/execution/upstream_exclusions.ts
@@ -1,33 +1,42 @@
-/** Upstreams that a request is not sent to: for good, or until they may be ready again. */
+/**
+ * Upstreams that a request must not be sent to, permanently or until a given
+ * time.
+ */
 import type { Milliseconds } from "../structures.ts";
 
 export class UpstreamExclusions {
-  readonly #until = new Map<string, Milliseconds>();
+  readonly #excludedUntil = new Map<string, Milliseconds>();
 
-  /** Excludes an upstream for the rest of the request. */
+  /** Excludes an upstream for the rest of the request's lifetime. */
   add(upstreamId: string): void {
-    this.#until.set(upstreamId, Number.POSITIVE_INFINITY);
+    this.#excludedUntil.set(upstreamId, Number.POSITIVE_INFINITY);
   }
 
-  /** Excludes an upstream for a time, unless it is excluded for longer. */
+  /** Excludes an upstream until the given time, or longer if it already is. */
   addUntil(upstreamId: string, until: Milliseconds): void {
-    const known = this.#until.get(upstreamId) ?? Number.NEGATIVE_INFINITY;
-    this.#until.set(upstreamId, Math.max(known, until));
+    const known = this.#excludedUntil.get(upstreamId) ??
+      Number.NEGATIVE_INFINITY;
+    this.#excludedUntil.set(upstreamId, Math.max(known, until));
   }
 
   has(upstreamId: string, now: Milliseconds): boolean {
-    const until = this.#until.get(upstreamId);
+    const until = this.#excludedUntil.get(upstreamId);
     return until !== undefined && now < until;
   }
 
-  /** Returns whether any upstream was excluded, for a time or for good. */
+  /**
+   * Returns whether any upstream has been excluded, also if only for a time.
+   */
   hasAny(): boolean {
-    return this.#until.size > 0;
+    return this.#excludedUntil.size > 0;
   }
 
-  /** Returns whether an upstream is excluded for the rest of the request. */
+  /**
+   * Returns whether an upstream is excluded for the rest of the request's
+   * lifetime.
+   */
   hasPermanent(): boolean {
-    for (const until of this.#until.values()) {
+    for (const until of this.#excludedUntil.values()) {
       if (until === Number.POSITIVE_INFINITY) return true;
     }
     return false;
--- a/src/core/limits/crash_quarantine.ts
+++ b/src/core/limits/crash_quarantine.ts
@@ -1,21 +1,22 @@
 /**
- * Isolates requests that were running on an upstream when it died. A request
- * that shared the upstream with others becomes a suspect and runs alone from
- * then on; each upstream that dies under it alone is a strike. At the bound
- * the request is refused. A run alone that succeeds clears the suspect.
+ * Isolates requests that were running on an upstream when it crashed. A request
+ * that shared the upstream with others becomes a suspect and runs exclusively
+ * from then on; each upstream that crashes while it runs exclusively counts as
+ * a strike. At the limit the request is refused. An exclusive run that
+ * completes clears the suspect.
  */
 import type { StrikeDigest } from "../messages.ts";
 import type { Milliseconds } from "../structures.ts";
 
 export interface CrashQuarantineOptions {
-  /** Upstreams that one request may crash. */
+  /** Upstreams that one request may crash before it is refused. */
   maxStrikes: number;
   strikeLifetimeMs: Milliseconds;
 }
 
-/** Fingerprints kept at once; the oldest are dropped beyond it. */
+/** Maximum number of fingerprints; the oldest are dropped. */
 const MAX_FINGERPRINTS = 10_000;
-/** Fingerprints passed on in one heartbeat. */
+/** Maximum number of fingerprints sent in one heartbeat. */
 const MAX_DIGEST_STRIKES = 32;
 
 interface Suspect {
@@ -31,7 +32,7 @@
     this.#options = options;
   }
 
-  /** Records that an upstream died while it ran the request. */
+  /** Records that an upstream crashed while it ran the request. */
   recordCrash(fingerprint: string, wasAlone: boolean, now: Milliseconds): void {
     const strikes = this.#getStrikes(fingerprint, now) + (wasAlone ? 1 : 0);
     this.#setSuspect(
@@ -41,12 +42,12 @@
     );
   }
 
-  /** Clears a suspect whose run alone came to its end. */
+  /** Clears a suspect whose exclusive run completed. */
   clearSuspect(fingerprint: string): void {
     this.#suspects.delete(fingerprint);
   }
 
-  /** Takes over what a peer knows; never lowers a count. */
+  /** Merges a peer's strikes; never lowers a count. */
   mergeDigests(digests: readonly StrikeDigest[], now: Milliseconds): void {
     for (const digest of digests) {
       const isKnown = this.isSuspect(digest.fingerprint, now) &&
@@ -60,15 +61,16 @@
     }
   }
 
-  /** Returns whether the request must run alone. */
+  /** Returns whether the request must run exclusively. */
   isSuspect(fingerprint: string, now: Milliseconds): boolean {
     const suspect = this.#suspects.get(fingerprint);
     return suspect !== undefined && suspect.expiresAt > now;
   }
 
   /**
-   * Returns whether the request is refused: it has crashed an upstream alone,
-   * and that one and the upstream it shared reach the bound together.
+   * Returns whether the request is refused: it has crashed an upstream while it
+   * ran exclusively, and its strikes together with the shared upstream whose
+   * crash made it a suspect reach the limit.
    */
   isQuarantined(fingerprint: string, now: Milliseconds): boolean {
     const strikes = this.#getStrikes(fingerprint, now);
@@ -81,7 +83,7 @@
     return suspect ? Math.max(0, suspect.expiresAt - now) : 0;
   }
 
-  /** Returns the latest suspects, to pass on to peers. */
+  /** Returns the most recent suspects, to be sent to peers. */
   getDigests(now: Milliseconds): StrikeDigest[] {
     const digests: StrikeDigest[] = [];
     for (const [fingerprint, suspect] of this.#suspects) {
--- a/src/core/limits/fair_shares.ts
+++ b/src/core/limits/fair_shares.ts
@@ -1,19 +1,23 @@
 /**
- * What each customer has lately been given of a resource, against its weighted
- * share. A customer above its share yields to the others that have asked
- * lately; one that nobody else asks beside takes all there is.
+ * Weighted fair sharing of a resource among customers: compares each customer's
+ * recent usage with its weighted share. A customer above its share yields to
+ * the others with recent requests; without such others it may use the whole
+ * resource.
  */
 import type { Milliseconds } from "../structures.ts";
 
-/** Time in which what was given counts half. */
+/** Half-life of recorded usage. */
 const HALF_LIFE_MS = 60_000;
-/** Time for which a customer that asked takes part in the division. */
+/** Time after its last request for which a customer counts as active. */
 const ACTIVE_WINDOW_MS = 30_000;
-/** Part of its share beyond which a customer yields. */
+/** Multiple of its share above which a customer yields. */
 const TOLERANCE = 1.05;
-/** Customers counted at once; those that asked longest ago are dropped beyond it. */
+/**
+ * Maximum number of customers tracked; those with the oldest requests are
+ * dropped.
+ */
 const MAX_CUSTOMERS = 4_096;
-/** Age beyond which the division is worked out anew. */
+/** Interval at which the set of customers above their share is recomputed. */
 const UPDATE_INTERVAL_MS = 100;
 
 interface Usage {
@@ -28,12 +32,12 @@
   #overShare: ReadonlySet<string> = new Set();
   #updatedAt = Number.NEGATIVE_INFINITY;
 
-  /** @param getShare Returns the weight of a customer. */
+  /** @param getShare Returns the weight of a customer's share. */
   constructor(getShare: (customer: string) => number) {
     this.#getShare = getShare;
   }
 
-  /** Records that the customer asked. */
+  /** Records that the customer requested the resource. */
   recordDemand(customer: string, now: Milliseconds): void {
     const usage = this.#usages.get(customer) ??
       { amount: 0, updatedAt: now, requestedAt: now };
@@ -45,7 +49,7 @@
     if (oldest !== undefined) this.#usages.delete(oldest);
   }
 
-  /** Records that the customer was given an amount. */
+  /** Records an amount that the customer was given. */
   recordUsage(customer: string, amount: number, now: Milliseconds): void {
     const usage = this.#usages.get(customer);
     if (!usage) return;
@@ -53,7 +57,10 @@
     usage.updatedAt = now;
   }
 
-  /** Returns whether the customer has had more than its share of what all active ones had. */
+  /**
+   * Returns whether the customer's usage exceeds its share of the usage of all
+   * active customers.
+   */
   isOverShare(customer: string, now: Milliseconds): boolean {
     if (now - this.#updatedAt >= UPDATE_INTERVAL_MS) this.#updateOverShare(now);
     return this.#overShare.has(customer);
@@ -68,11 +75,11 @@
       share: this.#getShare(customer),
       amount: computeAmount(usage, now),
     }));
-    const amounts = active.reduce((sum, { amount }) => sum + amount, 0);
-    const shares = active.reduce((sum, { share }) => sum + share, 0);
+    const totalAmount = active.reduce((sum, { amount }) => sum + amount, 0);
+    const totalShare = active.reduce((sum, { share }) => sum + share, 0);
     this.#overShare = new Set(
       active.filter(({ share, amount }) =>
-        amount > amounts * share / shares * TOLERANCE
+        amount > totalAmount * share / totalShare * TOLERANCE
       ).map(({ customer }) => customer),
     );
   }
--- a/src/core/limits/fleet_retry_budget.ts
+++ b/src/core/limits/fleet_retry_budget.ts
@@ -1,21 +1,24 @@
 /**
- * Bounds how often this daemon sends a request on to another upstream, by
- * service. The platform bounds repeats over all daemons together: a share of
- * the requests of a window, and a slack for each service. Load pattern: many
- * failures at once, when repeats would feed the overload. Each daemon spends
- * the share of its own requests and its part of the slack.
+ * This daemon's part of the fleet-wide retry budget of each service. The
+ * platform limits the retries of all daemons together, over a time window: a
+ * fraction of the requests, and a fixed slack for each service. This keeps
+ * retries from amplifying an overload when many requests fail at once. Each
+ * daemon uses the fraction of its own requests and an equal part of the slack.
  */
 import type { Milliseconds } from "../structures.ts";
 
 export interface FleetRetryBudgetOptions {
-  /** Repeats per request of a window. */
+  /** Retries per request in a window. */
   ratio: number;
   windowMs: Milliseconds;
-  /** Repeats per window beyond that, over all daemons. */
+  /** Additional retries per window, for all daemons together. */
   slack: number;
 }
 
-/** Part of the bound that is used: the windows of the judges slide over ours. */
+/**
+ * Fraction of the budget that is used: the windows over which the platform
+ * counts retries are not aligned with those of this daemon.
+ */
 const USED_FRACTION = 0.6;
 
 interface ServiceWindow {
@@ -35,7 +38,9 @@
     this.#getWindow(service, now).arrivals.push(now);
   }
 
-  /** Spends one repeat if the allowance has it. */
+  /**
+   * Takes one retry from the service's budget; returns false if none is left.
+   */
   trySpend(
     service: string,
     aliveDaemons: number,
--- a/src/core/limits/response_memory_budget.ts
+++ b/src/core/limits/response_memory_budget.ts
@@ -1,18 +1,19 @@
 /**
- * The memory that answers take which are read whole before they are passed on.
- * Load pattern: an upstream in trouble sends bytes without end, on several
- * connections at once. Short answers are always taken in; beyond that, all
- * answers share one bound, and one that would exceed it is cut.
+ * Limits the memory of responses that are buffered completely before they are
+ * forwarded. Guards against a faulty upstream that sends endless bodies on
+ * several connections at once. Each response has an exempt size, so that short
+ * ones are always accepted; the bytes beyond it share one limit, and a response
+ * that would exceed the limit is aborted.
  */
 
 export interface ResponseMemoryBudgetOptions {
-  /** Length up to which an answer needs no part of the bound, in bytes. */
+  /** Size up to which a response does not count against the limit, in bytes. */
   exemptBytes: number;
-  /** Bound on what all answers take beyond that, in bytes. */
+  /** Limit on the bytes beyond that size, for all responses together. */
   sharedBytes: number;
 }
 
-/** What one answer has taken. */
+/** Bytes reserved for one response. */
 export interface ResponseReservation {
   bytes: number;
 }
@@ -25,7 +26,7 @@
     this.#options = options;
   }
 
-  /** Bytes beyond the free lengths that all answers hold. */
+  /** Bytes beyond the exempt sizes that all responses have reserved. */
   get usedBytes(): number {
     return this.#usedBytes;
   }
@@ -34,7 +35,10 @@
     return { bytes: 0 };
   }
 
-  /** Takes more bytes for an answer; returns false where they exceed the bound, and takes none. */
+  /**
+   * Reserves more bytes for a response; returns false, and reserves none, if
+   * they exceed the limit.
+   */
   tryExtend(reservation: ResponseReservation, bytes: number): boolean {
     const before = this.#countShared(reservation.bytes);
     const after = this.#countShared(reservation.bytes + bytes);
@@ -45,7 +49,7 @@
     return true;
   }
 
-  /** Gives back what an answer has taken. */
+  /** Releases all bytes reserved for a response. */
   release(reservation: ResponseReservation): void {
     this.#usedBytes -= this.#countShared(reservation.bytes);
     reservation.bytes = 0;
--- a/src/core/limits/retry_budget.ts
+++ b/src/core/limits/retry_budget.ts
@@ -1,8 +1,11 @@
-/** Bounds retries to a share of first attempts, so that retries never feed an overload. */
+/**
+ * Limits retries to a fraction of first attempts, so that they never amplify an
+ * overload.
+ */
 
-/** Retries allowed before any first attempt has been seen. */
+/** Retries available before the first attempt of any request. */
 const INITIAL_RETRIES = 10;
-/** Retries that may be saved up. */
+/** Maximum number of retries that can accumulate. */
 const MAX_SAVED_RETRIES = 100;
 
 export class RetryBudget {
@@ -20,7 +23,7 @@
     );
   }
 
-  /** Spends one retry if the budget allows it. */
+  /** Takes one retry from the budget; returns false if none is left. */
   trySpend(): boolean {
     if (this.#savedRetries < 1) return false;
     this.#savedRetries -= 1;
--- a/test/core/execution/attempt_runner_test.ts
+++ b/test/core/execution/attempt_runner_test.ts
@@ -1,14 +1,21 @@
-/** What a daemon hears of a request's crashes while the request waits for its lease counts at dispatch. */
+/**
+ * Strikes that a peer reports while a request waits for its lease apply when it
+ * is dispatched. Without that check, a request that already crashed an upstream
+ * elsewhere would crash another one.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type { StrikeDigest } from "../../../src/core/messages.ts";
 import { PEER_DOMAIN, SingleDaemon } from "../single_daemon.ts";
 
 const PEER = "entry-2";
-/** Far more than an engine's owner lets run beside each other. */
+/** Far more requests than an engine's owner lets run concurrently. */
 const MANY = 100;
 
-/** Returns the runs of a full engine, and a request that waits for one to end. */
+/**
+ * Starts requests until the engine is full; returns them, and one more that
+ * waits for a lease.
+ */
 function startFullEngine(): {
   daemon: SingleDaemon;
   running: string[];
@@ -24,7 +31,7 @@
     }
     running.push(id);
   }
-  throw new Error(`expected a full engine, actual ${MANY} runs beside others`);
+  throw new Error(`expected a full engine, actual ${MANY} concurrent runs`);
 }
 
 function sendStrikes(daemon: SingleDaemon, strikes: number): void {
@@ -62,7 +69,7 @@
   });
 }
 
-test("a request that a peer has stopped meanwhile is not dispatched", () => {
+test("a request is not dispatched if a peer reports it as quarantined while it waits for a lease", () => {
   const { daemon, running, waiting } = startFullEngine();
   sendStrikes(daemon, 1);
   endRun(daemon, running[0] ?? "");
@@ -72,7 +79,7 @@
   assert.is(daemon.getRefusal(waiting)?.outcome, "notRun");
 });
 
-test("a request that a peer has made a suspect meanwhile waits until it runs alone", () => {
+test("a request waits for an exclusive run if a peer reports it as a suspect while it waits for a lease", () => {
   const { daemon, running, waiting } = startFullEngine();
   sendStrikes(daemon, 0);
   endRun(daemon, running[0] ?? "");
--- a/test/core/execution/crash_detector_test.ts
+++ b/test/core/execution/crash_detector_test.ts
@@ -1,10 +1,14 @@
-/** An upstream that died is known to have died, also when the first reading after its death is lost. */
+/**
+ * Guards against a missed crash: if the first reads of a crashed upstream's
+ * state are lost, the daemon must read again, or a crashing request would move
+ * on to one upstream after another.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { SingleDaemon } from "../single_daemon.ts";
 
-for (const lostReadings of [0, 1, 2]) {
-  test(`a crashing request stops after 2 upstreams with ${lostReadings} readings lost at each`, () => {
+for (const lostReads of [0, 1, 2]) {
+  test(`a crashing request is quarantined after 2 upstreams if ${lostReads} state reads are lost at each`, () => {
     const daemon = new SingleDaemon(["engine-1", "engine-2", "engine-3"]);
     const requestId = daemon.request("briefing");
     for (let crashes = 0; crashes < 3; crashes += 1) {
@@ -15,7 +19,7 @@
       assert.ok(state);
       state.incarnation = "e2";
       state.residents = [];
-      daemon.lostExaminations = lostReadings;
+      daemon.lostExaminations = lostReads;
       daemon.endAttempt(dispatch.attemptId, {
         kind: "lost",
         detail: "",
@@ -27,7 +31,7 @@
   });
 }
 
-test("an upstream that never answers is not taken for dead", () => {
+test("an upstream that never answers its state reads does not count as crashed", () => {
   const daemon = new SingleDaemon(["engine-1", "engine-2"]);
   const requestId = daemon.request("briefing");
   daemon.advance(500);
@@ -40,7 +44,11 @@
     bytesForwarded: 0,
   });
   daemon.advance(2_000);
-  assert.is(daemon.getDispatches(requestId).length, 2, "it is retried");
+  assert.is(
+    daemon.getDispatches(requestId).length,
+    2,
+    "the request is retried",
+  );
   assert.is(daemon.lostExaminations, 1_000 - 3);
 });
 
--- a/test/core/execution/event_splitter_test.ts
+++ b/test/core/execution/event_splitter_test.ts
@@ -1,4 +1,7 @@
-/** Streams are cut only between events, and go on after the last whole one. */
+/**
+ * Streams are split only at event boundaries, and resume after the last
+ * complete event.
+ */
 import { Buffer } from "node:buffer";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -6,22 +9,22 @@
 
 const STREAM = "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n";
 
-test("whole events pass on however the bytes are cut", () => {
+test("only complete events are forwarded, whatever the chunk size", () => {
   for (let size = 1; size <= STREAM.length; size += 1) {
     const splitter = new EventSplitter();
-    let passed = "";
+    let forwarded = "";
     for (let from = 0; from < STREAM.length; from += size) {
-      const piece = Buffer.from(STREAM.slice(from, from + size));
-      const whole = splitter.push(piece).toString();
-      assert.ok(whole === "" || whole.endsWith("\n\n"));
-      passed += whole;
+      const chunk = Buffer.from(STREAM.slice(from, from + size));
+      const events = splitter.push(chunk).toString();
+      assert.ok(events === "" || events.endsWith("\n\n"));
+      forwarded += events;
     }
-    assert.is(passed, STREAM);
+    assert.is(forwarded, STREAM);
     assert.is(splitter.lastEventId, "3");
   }
 });
 
-test("a stream that breaks within an event goes on without its first bytes", () => {
+test("a stream that breaks within an event resumes without the incomplete event", () => {
   const splitter = new EventSplitter();
   const first = splitter.push(Buffer.from("id: 1\ndata: a\n\nid: 2\nda"));
   assert.is(splitter.lastEventId, "1");
--- a/test/core/execution/lease_client_test.ts
+++ b/test/core/execution/lease_client_test.ts
@@ -128,15 +128,15 @@
   client.addWaiting(request, UPSTREAM, 0);
 }
 
-test("a grant that is sent twice is not returned while its run goes on", () => {
+test("a duplicate grant is not returned while its run is in progress", () => {
   const { client: client, context, dispatched, takeSent } = createClient();
   addRequest(context, client);
-  const [asked] = takeSent();
-  assert.is(asked?.kind, "leaseRequest");
-  if (asked?.kind !== "leaseRequest") return;
+  const [request] = takeSent();
+  assert.is(request?.kind, "leaseRequest");
+  if (request?.kind !== "leaseRequest") return;
   const grant = {
     kind: "leaseGrant",
-    leaseRequestId: asked.leaseRequestId,
+    leaseRequestId: request.leaseRequestId,
     leaseId: "lease-1",
     upstreamId: UPSTREAM,
     adapterKey: ADAPTER,
@@ -153,18 +153,18 @@
   assert.equal(takeSent(), []);
 });
 
-test("a lease for shorter runs serves no longer run", () => {
+test("a lease for a shorter run time limit is not used for longer runs", () => {
   const { client: client, context, dispatched, takeSent } = createClient();
   addRequest(context, client);
-  const [asked] = takeSent();
-  if (asked?.kind !== "leaseRequest") throw new Error("Expected a request");
+  const [request] = takeSent();
+  if (request?.kind !== "leaseRequest") throw new Error("expected a request");
   addRequest(context, client, { requestId: "r2", maxRunMs: 60_000 });
-  const [askedLonger] = takeSent();
-  if (askedLonger?.kind !== "leaseRequest") throw new Error("Expected another");
-  assert.is(askedLonger.maxRunMs, 60_000);
+  const [second] = takeSent();
+  if (second?.kind !== "leaseRequest") throw new Error("expected a second");
+  assert.is(second.maxRunMs, 60_000);
   client.handleLeaseGrant("entry-1", {
     kind: "leaseGrant",
-    leaseRequestId: asked.leaseRequestId,
+    leaseRequestId: request.leaseRequestId,
     leaseId: "lease-1",
     upstreamId: UPSTREAM,
     adapterKey: ADAPTER,
@@ -178,7 +178,7 @@
   assert.equal(dispatched, ["r1"]);
 });
 
-test("a grant that nothing waits for is returned whole", () => {
+test("a grant that no request waits for is returned completely", () => {
   const { client: client, takeSent } = createClient();
   client.handleLeaseGrant("entry-1", {
     kind: "leaseGrant",
--- a/test/core/execution/lease_group_test.ts
+++ b/test/core/execution/lease_group_test.ts
@@ -25,33 +25,33 @@
   };
 }
 
-test("counts the window from the sending that was granted", () => {
-  const holding = new LeaseGroup("engine-1", "briefing@v1");
-  holding.addLease(createGrant(), MARGIN_MS, 1_500);
-  assert.ok(holding.tryTakeCredit(false, 2_899));
-  assert.is(holding.tryTakeCredit(false, 2_900), undefined);
+test("counts the dispatch window from the time at which the granted request was sent", () => {
+  const group = new LeaseGroup("engine-1", "briefing@v1");
+  group.addLease(createGrant(), MARGIN_MS, 1_500);
+  assert.ok(group.tryTakeCredit(false, 2_899));
+  assert.is(group.tryTakeCredit(false, 2_900), undefined);
 });
 
-test("returns credits as a growing total", () => {
-  const holding = new LeaseGroup("engine-1", "briefing@v1");
-  holding.addLease(createGrant(), MARGIN_MS, 1_000);
-  const credit = holding.tryTakeCredit(false, 1_000);
-  assert.equal(holding.takeIdleCredits(0, 1_001), [
+test("returns credits as a cumulative total", () => {
+  const group = new LeaseGroup("engine-1", "briefing@v1");
+  group.addLease(createGrant(), MARGIN_MS, 1_000);
+  const credit = group.tryTakeCredit(false, 1_000);
+  assert.equal(group.takeIdleCredits(0, 1_001), [
     { leaseId: "lease-1", returnedCredits: 1 },
   ]);
-  holding.freeCredit(credit?.leaseId ?? "", 1_002);
-  assert.equal(holding.takeIdleCredits(0, 1_003), [
+  group.freeCredit(credit?.leaseId ?? "", 1_002);
+  assert.equal(group.takeIdleCredits(0, 1_003), [
     { leaseId: "lease-1", returnedCredits: 2 },
   ]);
-  assert.ok(holding.isUnused());
+  assert.ok(group.isUnused());
 });
 
-test("never returns the credit of a run that may go on", () => {
-  const holding = new LeaseGroup("engine-1", "briefing@v1");
-  holding.addLease(createGrant({ credits: 1 }), MARGIN_MS, 1_000);
-  const credit = holding.tryTakeCredit(false, 1_000);
-  holding.abandonCredit(credit?.leaseId ?? "");
-  assert.equal(holding.takeIdleCredits(0, 5_000), []);
+test("never returns the credit of a run that may still be in progress", () => {
+  const group = new LeaseGroup("engine-1", "briefing@v1");
+  group.addLease(createGrant({ credits: 1 }), MARGIN_MS, 1_000);
+  const credit = group.tryTakeCredit(false, 1_000);
+  group.abandonCredit(credit?.leaseId ?? "");
+  assert.equal(group.takeIdleCredits(0, 5_000), []);
 });
 
 test.run();
--- a/test/core/execution/outcome_test.ts
+++ b/test/core/execution/outcome_test.ts
@@ -3,7 +3,10 @@
 import type { AttemptResult } from "../../../src/core/outcomes.ts";
 import { SingleDaemon } from "../single_daemon.ts";
 
-/** How a first attempt ends, and what may be said when no other upstream is left. */
+/**
+ * Results of a first attempt, and the outcome to report when no other upstream
+ * is left.
+ */
 const FIRST_ATTEMPTS: { result: AttemptResult; outcome: string }[] = [
   { result: { kind: "notSent", detail: "" }, outcome: "notRun" },
   { result: { kind: "refused", status: 503, detail: "" }, outcome: "notRun" },
@@ -18,7 +21,7 @@
 ];
 
 for (const { result, outcome } of FIRST_ATTEMPTS) {
-  test(`a request that is refused after an attempt that was ${result.kind} is ${outcome}`, () => {
+  test(`a request refused after an attempt with result ${result.kind} has the outcome ${outcome}`, () => {
     const daemon = new SingleDaemon(["engine-1"]);
     const requestId = daemon.request("briefing");
     daemon.advance(500);
@@ -32,7 +35,7 @@
   });
 }
 
-test("a call with a ticket is uncertain until the ticket's home has answered", () => {
+test("a request with a ticket may have run until the ticket's issuer has answered", () => {
   const daemon = new SingleDaemon(["engine-1"]);
   const ticket = daemon.getRefusal(daemon.request("order"))?.ticket ?? "";
   assert.is.not(ticket, "");
@@ -43,11 +46,11 @@
   assert.is(fresh?.outcome, "notRun");
 });
 
-test("a caller that leaves before the ticket's home has answered gets an uncertain outcome", () => {
+test("a request with a ticket may have run if the caller disconnects before the issuer has answered", () => {
   const daemon = new SingleDaemon(["engine-1"], ["entry-2"]);
   const ticket = "entry-2~i1~1~check";
   const requestId = daemon.request("order", { ticket });
-  assert.is(daemon.getRefusal(requestId), undefined, "the claim is under way");
+  assert.is(daemon.getRefusal(requestId), undefined, "the claim is pending");
   daemon.handle({ kind: "callerGone", requestId });
   assert.is(daemon.getRefusal(requestId)?.outcome, "mayHaveRun");
 });
--- a/test/core/execution/retry_decision_test.ts
+++ b/test/core/execution/retry_decision_test.ts
@@ -1,4 +1,7 @@
-/** What follows an attempt, in a table of outcomes and kinds of request. */
+/**
+ * Decisions after an attempt, by its outcome and the repeatability of the
+ * request.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
@@ -17,88 +20,93 @@
 };
 
 const CASES: [string, Partial<RetryConditions>, boolean, string][] = [
-  ["an answer is delivered", {}, true, "deliver"],
+  ["a response is delivered", {}, true, "deliver"],
   [
-    "a failure of an idempotent one is repeated",
+    "a failed idempotent request is retried",
     { outcome: "failed" },
     true,
     "tryAnother",
   ],
-  ["without budget it is delivered", { outcome: "failed" }, false, "deliver"],
   [
-    "after its attempts it is delivered",
+    "a failure response is delivered if the retry budget is used up",
+    { outcome: "failed" },
+    false,
+    "deliver",
+  ],
+  [
+    "a failure response is delivered after the last attempt",
     { outcome: "failed", possibleRuns: 2 },
     true,
     "deliver",
   ],
   [
-    "a failure of a non-idempotent one is delivered",
+    "a failure response to a non-idempotent request is delivered",
     { outcome: "failed", repeatability: "nonIdempotent" },
     true,
     "deliver",
   ],
   [
-    "a lost non-idempotent one may have run",
+    "a lost non-idempotent request fails as one that may have run",
     { outcome: "lost", repeatability: "nonIdempotent" },
     true,
     "fail",
   ],
   [
-    "a lost idempotent one is repeated",
+    "a lost idempotent request is retried",
     { outcome: "lost" },
     true,
     "tryAnother",
   ],
   [
-    "a lost stream may have run",
+    "a lost stream that is not resumable fails as one that may have run",
     { outcome: "lost", repeatability: "stream" },
     true,
     "fail",
   ],
   [
-    "a lost resumable stream goes on",
+    "a lost resumable stream is retried",
     { outcome: "lost", repeatability: "stream", isResumable: true },
     true,
     "tryAnother",
   ],
   [
-    "a silent non-idempotent one may have run",
+    "a timed out non-idempotent request fails as one that may have run",
     { outcome: "silent", repeatability: "nonIdempotent" },
     true,
     "fail",
   ],
   [
-    "one that was not run is tried elsewhere",
+    "a request that was not run is tried on another upstream",
     { outcome: "notRun", repeatability: "nonIdempotent", possibleRuns: 0 },
     true,
     "tryAnother",
   ],
   [
-    "without budget it is refused",
+    "a request that was not run is refused if the retry budget is used up",
     { outcome: "notRun", possibleRuns: 0 },
     false,
     "refuse",
   ],
   [
-    "what was not sent needs no budget",
+    "a request that was not sent needs no retry budget",
     { outcome: "notSent", possibleRuns: 0 },
     false,
     "tryAnother",
   ],
   [
-    "without time it is refused",
+    "a request that was not sent is refused if too little time remains",
     { outcome: "notSent", possibleRuns: 0, remainingMs: 10 },
     true,
     "refuse",
   ],
   [
-    "one that ran before is never called not run",
+    "a request that ran before is never reported as not run",
     { outcome: "notRun", possibleRuns: 1 },
     false,
     "fail",
   ],
   [
-    "attempts of any kind are bounded",
+    "the total number of attempts is limited",
     { outcome: "notSent", possibleRuns: 0, totalAttempts: 4 },
     true,
     "refuse",
@@ -112,7 +120,7 @@
   });
 }
 
-test("a request that times out at its upstream is told from one that broke", () => {
+test("a failure distinguishes a timeout from a lost connection", () => {
   const part = { repeatability: "nonIdempotent" } as const;
   const decide = (outcome: "silent" | "lost") =>
     decideRetry({ ...BASE, ...part, outcome }, () => true);
--- a/test/core/execution/ticket_issuer_test.ts
+++ b/test/core/execution/ticket_issuer_test.ts
@@ -59,7 +59,7 @@
   assert.is(claim(issuer, second, 2), "inProgress");
 });
 
-test("answers a repeated claim as the first", () => {
+test("answers a duplicate claim like the first", () => {
   const issuer = createIssuer();
   const ticket = issuer.issueTicket("derwent", 0);
   assert.is(claim(issuer, createClaim(ticket), 1), "granted");
@@ -80,7 +80,7 @@
   assert.equal(verdict.answer, ANSWER);
 });
 
-test("grants a released ticket again, but only to its own request", () => {
+test("grants a released ticket again, but only to the same request", () => {
   const issuer = createIssuer();
   const ticket = issuer.issueTicket("derwent", 0);
   claim(issuer, createClaim(ticket), 1);
@@ -96,7 +96,7 @@
   assert.is(claim(issuer, same, 4), "granted");
 });
 
-test("counts fresh and claimed tickets as in use", () => {
+test("counts newly issued and claimed tickets as in use", () => {
   const issuer = createIssuer();
   const ticket = issuer.issueTicket("derwent", 0);
   assert.ok(issuer.hasTicketsInUse(MAX_USE_MS, 1_999));
@@ -113,7 +113,7 @@
   assert.not(issuer.hasTicketsInUse(MAX_USE_MS, 5_000));
 });
 
-test("never grants what an earlier incarnation minted", () => {
+test("never grants a ticket that an earlier incarnation issued", () => {
   const ticket = createIssuer("i1").issueTicket("derwent", 0);
   assert.is(claim(createIssuer("i2"), createClaim(ticket), 1), "expired");
 });
@@ -133,7 +133,7 @@
   assert.is(claim(issuer, forged, 1), "invalid");
 });
 
-test("answers a claim that was never settled as one that may have run", () => {
+test("reports a claim that was never settled as one that may have run", () => {
   const issuer = createIssuer();
   const ticket = issuer.issueTicket("derwent", 0);
   claim(issuer, createClaim(ticket), 1);
@@ -143,7 +143,7 @@
   assert.is(verdict.answer?.outcome, "mayHaveRun");
 });
 
-test("a claim older than the longest use holds up no stop", () => {
+test("a claim older than the maximum use time does not count as in use", () => {
   const issuer = createIssuer();
   const ticket = issuer.issueTicket("derwent", 0);
   issuer.claimTicket(createClaim(ticket), 100);
--- a/test/core/limits/fair_shares_test.ts
+++ b/test/core/limits/fair_shares_test.ts
@@ -6,14 +6,14 @@
   return new FairShares((customer) => weights[customer] ?? 1);
 }
 
-test("a customer alone exceeds nothing", () => {
+test("a customer without others is never above its share", () => {
   const shares = createShares();
   shares.recordDemand("a", 0);
   shares.recordUsage("a", 100, 0);
   assert.not.ok(shares.isOverShare("a", 200));
 });
 
-test("a customer above its part yields, one below does not", () => {
+test("a customer above its share is reported, one below is not", () => {
   const shares = createShares();
   for (const customer of ["a", "b"]) shares.recordDemand(customer, 0);
   shares.recordUsage("a", 30, 0);
@@ -22,7 +22,7 @@
   assert.not.ok(shares.isOverShare("b", 200));
 });
 
-test("parts are in proportion to the customers' shares", () => {
+test("usage is compared in proportion to the customers' weights", () => {
   const shares = createShares({ a: 3 });
   for (const customer of ["a", "b"]) shares.recordDemand(customer, 0);
   shares.recordUsage("a", 30, 0);
@@ -30,7 +30,7 @@
   assert.not.ok(shares.isOverShare("a", 200));
 });
 
-test("a customer that asks no more leaves the division", () => {
+test("a customer without recent requests no longer counts as active", () => {
   const shares = createShares();
   for (const customer of ["a", "b"]) shares.recordDemand(customer, 0);
   shares.recordUsage("a", 30, 0);
@@ -38,7 +38,7 @@
   assert.not.ok(shares.isOverShare("a", 60_000));
 });
 
-test("what was given long ago counts less", () => {
+test("old usage counts less than recent usage", () => {
   const shares = createShares();
   for (const customer of ["a", "b"]) shares.recordDemand(customer, 0);
   shares.recordUsage("a", 30, 0);
--- a/test/core/limits/fleet_retry_budget_test.ts
+++ b/test/core/limits/fleet_retry_budget_test.ts
@@ -1,4 +1,4 @@
-/** Repeats stay within a daemon's share of what all may spend. */
+/** Retries stay within each daemon's part of the fleet-wide budget. */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { FleetRetryBudget } from "../../../src/core/limits/fleet_retry_budget.ts";
@@ -15,7 +15,7 @@
   return spent;
 }
 
-test("nine daemons whose every request fails stay under the fleet's bound", () => {
+test("nine daemons whose requests all fail stay within the fleet-wide budget", () => {
   const requestsEach = 60;
   let retries = 0;
   for (let daemon = 0; daemon < 9; daemon += 1) {
@@ -25,11 +25,11 @@
     }
     retries += spendAll(budget, 9, 6_000);
   }
-  const bound = OPTIONS.ratio * 9 * requestsEach + OPTIONS.slack;
-  assert.ok(retries > 0 && retries <= bound, `${retries} of ${bound}`);
+  const limit = OPTIONS.ratio * 9 * requestsEach + OPTIONS.slack;
+  assert.ok(retries > 0 && retries <= limit, `${retries} of ${limit}`);
 });
 
-test("services have an allowance each, and windows pass", () => {
+test("each service has its own budget, which is renewed when the window has passed", () => {
   const budget = new FleetRetryBudget(OPTIONS);
   const first = spendAll(budget, 9, 0);
   assert.ok(first > 0);
--- a/test/core/limits/response_memory_budget_test.ts
+++ b/test/core/limits/response_memory_budget_test.ts
@@ -1,47 +1,56 @@
-/** The bound that answers share: short ones always fit, floods are cut, nothing leaks. */
+/**
+ * Short responses are always accepted, long ones share one limit, and released
+ * bytes are available again.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import { ResponseMemoryBudget } from "../../../src/core/limits/response_memory_budget.ts";
 
-const FREE = 100;
-const SHARED = 1_000;
+const EXEMPT_BYTES = 100;
+const SHARED_BYTES = 1_000;
 
 function createBudget(): ResponseMemoryBudget {
-  return new ResponseMemoryBudget({ exemptBytes: FREE, sharedBytes: SHARED });
+  return new ResponseMemoryBudget({
+    exemptBytes: EXEMPT_BYTES,
+    sharedBytes: SHARED_BYTES,
+  });
 }
 
-test("floods share the bound, short answers pass beside them", () => {
+test("long responses share the limit while short responses are still accepted", () => {
   const budget = createBudget();
-  const floods = [budget.createReservation(), budget.createReservation()];
-  let taken = 0;
-  for (let piece = 0; piece < 100; piece += 1) {
-    for (const flood of floods) if (budget.tryExtend(flood, 50)) taken += 50;
+  const large = [
+    budget.createReservation(),
+    budget.createReservation(),
+  ];
+  let reserved = 0;
+  for (let chunk = 0; chunk < 100; chunk += 1) {
+    for (const each of large) if (budget.tryExtend(each, 50)) reserved += 50;
   }
-  assert.is(taken, SHARED + 2 * FREE);
+  assert.is(reserved, SHARED_BYTES + 2 * EXEMPT_BYTES);
   const short = budget.createReservation();
-  assert.ok(budget.tryExtend(short, FREE));
+  assert.ok(budget.tryExtend(short, EXEMPT_BYTES));
   assert.not(budget.tryExtend(short, 1));
 });
 
-test("what an answer gives back others can take", () => {
+test("bytes that a response releases are available to others", () => {
   const budget = createBudget();
   const first = budget.createReservation();
-  assert.ok(budget.tryExtend(first, FREE + SHARED));
+  assert.ok(budget.tryExtend(first, EXEMPT_BYTES + SHARED_BYTES));
   const second = budget.createReservation();
-  assert.not(budget.tryExtend(second, FREE + 1));
+  assert.not(budget.tryExtend(second, EXEMPT_BYTES + 1));
   budget.release(first);
   budget.release(first);
   assert.is(budget.usedBytes, 0);
-  assert.ok(budget.tryExtend(second, FREE + SHARED));
+  assert.ok(budget.tryExtend(second, EXEMPT_BYTES + SHARED_BYTES));
   budget.release(second);
   assert.is(budget.usedBytes, 0);
 });
 
-test("a refused piece takes nothing", () => {
+test("a chunk that exceeds the limit reserves nothing", () => {
   const budget = createBudget();
-  const answer = budget.createReservation();
-  assert.not(budget.tryExtend(answer, FREE + SHARED + 1));
-  assert.is(answer.bytes, 0);
+  const response = budget.createReservation();
+  assert.not(budget.tryExtend(response, EXEMPT_BYTES + SHARED_BYTES + 1));
+  assert.is(response.bytes, 0);
   assert.is(budget.usedBytes, 0);
 });
 
