--- a/test/fuzz/calls.ts
+++ b/test/fuzz/calls.ts
@@ -1,8 +1,11 @@
-/** What callers want and what they have received of it. */
+/** Work that callers request, and what has been returned to them so far. */
 import type { Outcome, RefusalReason } from "../../src/core/outcomes.ts";
 
-/** A piece of work that a caller wants done, however often it has to call. */
-export interface Work {
+/**
+ * One unit of work that a caller wants to run. The caller may send several
+ * calls for it: retries, or a second call with the ticket it was given.
+ */
+export interface WorkItem {
   id: string;
   route: string;
   customer: string;
@@ -11,26 +14,32 @@
   durationMs: number;
   parts: number;
   ticket: string | undefined;
-  /** Runs that have begun, over all calls. */
+  /** Number of runs that have started, over all calls. */
   runs: number;
   completedRuns: number;
-  /** Deaths of upstreams under a run of it that a crash-marked call did not cause. */
-  chanceDeaths: number;
-  /** Upstreams that crash-marked runs of it have killed. */
-  kills: { at: number; callId: string }[];
+  /**
+   * Number of its runs that ended because the upstream crashed for another
+   * reason than a request that is marked as crashing.
+   */
+  unrelatedCrashes: number;
+  /**
+   * Upstream crashes that its own runs caused; only work that is marked as
+   * crashing causes any.
+   */
+  causedCrashes: { at: number; callId: string }[];
 }
 
 export type CallEnd =
   | { kind: "completed" }
   | { kind: "replayed" }
   | { kind: "refused"; reason: RefusalReason; outcome: Outcome }
-  /** The caller's connection broke; nothing was said. */
+  /** The caller's connection was lost before an answer was complete. */
   | { kind: "broken" };
 
-/** One call, through one daemon. */
+/** One request that a caller sends to one daemon. */
 export interface Call {
   id: string;
-  work: Work;
+  workItem: WorkItem;
   daemonId: string;
   ticket: string | undefined;
   sentAt: number;
--- a/test/fuzz/commands.ts
+++ b/test/fuzz/commands.ts
@@ -1,6 +1,9 @@
-/** What the fuzzer does to a fleet, drawn and shrunk by fast-check. */
+/**
+ * Commands that the fuzzer applies to a simulated fleet: requests, edits of the
+ * tables, and faults. fast-check draws and shrinks them.
+ */
 import fc from "fast-check";
-import type { ServiceMode } from "./model_platform.ts";
+import type { PlatformMode } from "./model_platform.ts";
 import {
   DAEMON_IDS,
   ENGINE_IDS,
@@ -21,7 +24,7 @@
     isCrashing: boolean;
     copies: number;
   }
-  | { kind: "resend"; daemon: string; workIndex: number }
+  | { kind: "resend"; daemon: string; workItemIndex: number }
   | { kind: "resendCrashing"; daemon: string }
   | { kind: "callerGone"; callIndex: number }
   | { kind: "edit"; routeIndex: number; choice: number; isInvalid: boolean }
@@ -43,17 +46,17 @@
     engine: string;
     failLoads: number;
     refuseRuns: number;
-    crossAnswers: number;
+    wrongModelAnswers: number;
     reportLagMs: number;
   }
   | { kind: "slowStore"; loadTimeMs: number }
-  | { kind: "configuration"; mode: ServiceMode }
+  | { kind: "configuration"; mode: PlatformMode }
   | { kind: "hostLag"; ms: number }
   | { kind: "leave" | "comeBack"; upstream: string }
   | { kind: "noise"; percent: number }
   | { kind: "wallClock"; ms: number };
 
-/** A command and the time that passes after it. */
+/** A command and the simulated time that passes after it. */
 export interface Step {
   command: Command;
   afterMs: number;
@@ -63,7 +66,11 @@
 const engine = fc.constantFrom<string>(...ENGINE_IDS);
 const upstream = fc.constantFrom<string>(...UPSTREAM_IDS);
 const routeIndex = fc.nat({ max: ROUTE_COUNT - 1 });
-/** Any pause, and more often one that peers just take for a death. */
+/**
+ * Duration of a daemon's pause. Durations close to the peers' detection time
+ * are drawn more often: the peers may declare the daemon dead just before it
+ * resumes.
+ */
 const pauseMs = fc.oneof(
   fc.integer({ min: 50, max: 8_000 }),
   fc.integer({ min: 1_200, max: 3_500 }),
@@ -97,7 +104,7 @@
     arbitrary: fc.record({
       kind: kind("resend"),
       daemon,
-      workIndex: fc.nat(10),
+      workItemIndex: fc.nat(10),
     }),
   },
   {
@@ -171,7 +178,7 @@
       engine,
       failLoads: fc.nat(3),
       refuseRuns: fc.nat(3),
-      crossAnswers: fc.nat(2),
+      wrongModelAnswers: fc.nat(2),
       reportLagMs: fc.nat(490),
     }),
   },
@@ -186,7 +193,7 @@
     weight: 2,
     arbitrary: fc.record({
       kind: kind("configuration"),
-      mode: fc.constantFrom<ServiceMode>("up", "down", "stale"),
+      mode: fc.constantFrom<PlatformMode>("up", "down", "stale"),
     }),
   },
   {
@@ -213,7 +220,7 @@
   },
 );
 
-/** Draws commands, each with the time that passes after it. */
+/** Draws a sequence of commands, each followed by a drawn delay. */
 export const steps: fc.Arbitrary<Step[]> = fc.array(
   fc.record({
     command: commands,
@@ -227,29 +234,29 @@
   switch (command.kind) {
     case "send":
       for (let copy = 0; copy < command.copies; copy += 1) {
-        world.sendCall(world.createWork(command), command.daemon);
+        world.sendCall(world.createWorkItem(command), command.daemon);
       }
       break;
     case "resend": {
-      const work = world.works.at(
-        -1 - command.workIndex % (world.works.length || 1),
+      const workItem = world.workItems.at(
+        -1 - command.workItemIndex % (world.workItems.length || 1),
       );
-      if (work) world.sendCall(work, command.daemon);
+      if (workItem) world.sendCall(workItem, command.daemon);
       break;
     }
     case "resendCrashing": {
-      const work = world.works.findLast(({ isCrashing }) => isCrashing);
-      if (work) world.sendCall(work, command.daemon);
+      const workItem = world.workItems.findLast(({ isCrashing }) => isCrashing);
+      if (workItem) world.sendCall(workItem, command.daemon);
       break;
     }
     case "callerGone": {
       const calls = [...world.oracle.getCalls()];
       const call = calls[command.callIndex % (calls.length || 1)];
-      if (call) world.leaveCall(call);
+      if (call) world.abandonCall(call);
       break;
     }
     case "edit":
-      world.edit(command.routeIndex, command.choice, command.isInvalid);
+      world.editRoute(command.routeIndex, command.choice, command.isInvalid);
       break;
     case "wait":
       world.advance(command.ms);
@@ -286,11 +293,11 @@
       break;
     case "engineFaults": {
       const { faults } = world.getUpstreamOrThrow(command.engine);
-      const { failLoads, refuseRuns, crossAnswers, reportLagMs } = command;
+      const { failLoads, refuseRuns, wrongModelAnswers, reportLagMs } = command;
       Object.assign(faults, {
         failLoads,
         refuseRuns,
-        crossAnswers,
+        wrongModelAnswers,
         reportLagMs,
       });
       break;
--- a/test/fuzz/daemon_process.ts
+++ b/test/fuzz/daemon_process.ts
@@ -1,4 +1,7 @@
-/** One daemon of the model: the real core, a clock of its own, pauses, kills and restarts. */
+/**
+ * A simulated daemon process. It runs the production core with a drifting clock
+ * of its own, and it can be paused, killed and restarted.
+ */
 import { DaemonCore } from "../../src/core/daemon_core.ts";
 import type { Effect } from "../../src/core/effects.ts";
 import type { CoreEvent } from "../../src/core/events.ts";
@@ -9,13 +12,13 @@
   SETTINGS,
   TICK_INTERVAL_MS,
 } from "./fleet_layout.ts";
-import { FuzzPromise } from "./oracle.ts";
+import { Invariant } from "./oracle.ts";
 import { UpstreamClient } from "./upstream_client.ts";
 import { countWallClockReads } from "./wall_clock.ts";
 import type { World } from "./world.ts";
 
 const MAX_CLOCK_OFFSET_MS = 10_000_000;
-/** Largest drift of a clock, in millionths. */
+/** Maximum clock drift, in parts per million. */
 const MAX_DRIFT_PPM = 500;
 const POLL_INTERVAL_MS = 400;
 const MAX_JITTER_MS = 5;
@@ -28,12 +31,12 @@
   #incarnation = 0;
   #clockOffset = 0;
   #clockRate = 1;
-  #backlog: (() => void)[] = [];
+  #deferredSteps: (() => void)[] = [];
   #pausedUntil = 0;
   isAlive = false;
   isPaused = false;
   isStopping = false;
-  /** Pause that begins when the next dispatch or order is about to leave. */
+  /** Pause that starts just before the next dispatch or order is sent. */
   pauseAtNext: { what: "dispatch" | "order"; ms: number } | undefined;
 
   constructor(id: string, world: World) {
@@ -46,10 +49,10 @@
     if (this.isAlive) return;
     const { random } = this.#world;
     this.#incarnation += 1;
-    this.#clockOffset = random.getInteger(0, MAX_CLOCK_OFFSET_MS);
+    this.#clockOffset = random.drawInteger(0, MAX_CLOCK_OFFSET_MS);
     this.#clockRate = 1 +
-      random.getInteger(-MAX_DRIFT_PPM, MAX_DRIFT_PPM) / 1_000_000;
-    this.#backlog = [];
+      random.drawInteger(-MAX_DRIFT_PPM, MAX_DRIFT_PPM) / 1_000_000;
+    this.#deferredSteps = [];
     this.isAlive = true;
     this.isPaused = false;
     this.isStopping = false;
@@ -60,7 +63,7 @@
       failureDomain: getFailureDomain(this.id),
       settings: SETTINGS,
       seedHosts: createHosts(new Set()).filter((host) => host.role === "entry"),
-      ticketSecret: random.getBytes(16),
+      ticketSecret: random.drawBytes(16),
     }, this.readClock());
     this.#tick();
     this.#pollPlatform();
@@ -69,11 +72,14 @@
   kill(): void {
     if (!this.isAlive) return;
     this.isAlive = false;
-    this.#backlog = [];
+    this.#deferredSteps = [];
     this.#world.breakCalls(this.id);
   }
 
-  /** Stops handling anything until the span has passed; what comes meanwhile is late. */
+  /**
+   * Stops handling events for the given time. Events that arrive meanwhile are
+   * handled when the process resumes.
+   */
   pause(spanMs: number): void {
     if (!this.isAlive) return;
     const { queue } = this.#world;
@@ -86,8 +92,11 @@
     if (!this.isPaused || now < this.#pausedUntil) return;
     this.isPaused = false;
     this.#pausedUntil = 0;
-    this.#world.trace.add(this.id, `wakes with ${this.#backlog.length} steps`);
-    for (const step of this.#backlog.splice(0)) step();
+    this.#world.trace.add(
+      this.id,
+      `resumes with ${this.#deferredSteps.length} deferred steps`,
+    );
+    for (const step of this.#deferredSteps.splice(0)) step();
   }
 
   requestStop(): void {
@@ -96,7 +105,10 @@
     this.runLocal(0, () => this.handle({ kind: "stopRequested" }));
   }
 
-  /** Returns a check that holds while this incarnation lives. */
+  /**
+   * Returns a function that returns true as long as the present incarnation
+   * runs.
+   */
   createIncarnationCheck(): () => boolean {
     const incarnation = this.#incarnation;
     return () => this.isAlive && this.#incarnation === incarnation;
@@ -110,7 +122,7 @@
     return this.#core.getSnapshot()?.revision ?? 0;
   }
 
-  /** Returns one line on the state and each owned upstream, for the trace. */
+  /** Describes the state and the owned upstreams in one line for the trace. */
   describe(): string {
     if (!this.isAlive) return "dead";
     const { state, upstreams } = this.#core.describe(this.readClock());
@@ -124,33 +136,39 @@
     return [state, ...owned].join(", ");
   }
 
-  /** Runs a step of this incarnation after a delay, or later if it is paused then. */
+  /**
+   * Runs a step after a delay. If the process is paused at that time, the step
+   * runs when it resumes; if this incarnation has ended, the step is dropped.
+   */
   runLocal(delayMs: number, step: () => void): void {
-    const isIncarnation = this.createIncarnationCheck();
-    const run = (): void => {
-      if (isIncarnation()) step();
+    const isCurrentIncarnation = this.createIncarnationCheck();
+    const runIfCurrent = (): void => {
+      if (isCurrentIncarnation()) step();
     };
-    const arrive = (): void => {
-      if (!isIncarnation()) return;
-      if (this.isPaused) this.#backlog.push(run);
-      else run();
+    const runOrDefer = (): void => {
+      if (!isCurrentIncarnation()) return;
+      if (this.isPaused) this.#deferredSteps.push(runIfCurrent);
+      else runIfCurrent();
     };
-    if (delayMs === 0 && !this.isPaused) run();
-    else this.#world.queue.schedule(delayMs, arrive);
+    if (delayMs === 0 && !this.isPaused) runIfCurrent();
+    else this.#world.queue.schedule(delayMs, runOrDefer);
   }
 
   accept(call: Call): void {
     const snapshot = this.#core.getSnapshot();
-    const route = snapshot?.getRoute(call.work.route, call.work.customer);
+    const route = snapshot?.getRoute(
+      call.workItem.route,
+      call.workItem.customer,
+    );
     call.pinnedModel = route && route.adapter !== ""
       ? `${route.adapter}@${route.version}`
       : "";
     this.handle({
       kind: "requestArrived",
       requestId: call.id,
-      customer: call.work.customer,
-      route: call.work.route,
-      fingerprint: call.work.id,
+      customer: call.workItem.customer,
+      route: call.workItem.route,
+      fingerprint: call.workItem.id,
       ...(call.ticket === undefined ? {} : { ticket: call.ticket }),
     });
   }
@@ -163,35 +181,35 @@
         effects = this.#core.handle(event, this.readClock());
       } catch (error) {
         oracle.fail(
-          FuzzPromise.Robustness,
-          `${this.id} throws at ${event.kind}: ${
+          Invariant.Robustness,
+          `${this.id} throws while it handles ${event.kind}: ${
             error instanceof Error ? error.stack : error
           }`,
         );
       }
     });
     if (reads > 0) {
-      oracle.fail(FuzzPromise.Robustness, `${event.kind} reads the wall clock`);
+      oracle.fail(Invariant.Robustness, `${event.kind} reads the wall clock`);
     }
     oracle.recordRevision(this.id, this.#incarnation, this.getRevision());
-    for (const effect of effects) this.#carryOut(effect);
+    for (const effect of effects) this.#applyEffect(effect);
   }
 
-  #carryOut(effect: Effect): void {
+  #applyEffect(effect: Effect): void {
     const world = this.#world;
     switch (effect.kind) {
       case "send":
         world.sendMessage(this.id, effect.to, effect.message);
         break;
       case "dispatch":
-        this.#pauseIfArmed("dispatch");
+        this.#pauseIfRequested("dispatch");
         this.#client.dispatch(effect);
         break;
       case "cancelAttempt":
         this.#client.cancel(effect.attemptId);
         break;
       case "order":
-        this.#pauseIfArmed("order");
+        this.#pauseIfRequested("order");
         this.#client.order(effect);
         break;
       case "readUpstreamState":
@@ -211,7 +229,7 @@
         world.replayCall(effect.requestId, effect.answer);
         break;
       case "stopCompleted":
-        this.#exit();
+        this.#completeStop();
         break;
       case "count":
         world.count(`${effect.counter}:${effect.tag}`);
@@ -221,22 +239,25 @@
     }
   }
 
-  #pauseIfArmed(what: "dispatch" | "order"): void {
+  #pauseIfRequested(what: "dispatch" | "order"): void {
     if (this.pauseAtNext?.what !== what) return;
     const { ms } = this.pauseAtNext;
     this.pauseAtNext = undefined;
-    this.#world.trace.add(this.id, `pauses before its ${what} leaves`);
+    this.#world.trace.add(this.id, `pauses before it sends its ${what}`);
     this.pause(ms);
   }
 
-  #exit(): void {
+  #completeStop(): void {
     const { oracle, trace } = this.#world;
     trace.add(this.id, "has stopped");
     for (const call of oracle.getCalls()) {
       const isCut = call.daemonId === this.id && call.end === undefined &&
         call.pinnedModel !== undefined && !call.isCallerGone;
       if (isCut) {
-        oracle.fail(FuzzPromise.GracefulStop, `${this.id} cuts off ${call.id}`);
+        oracle.fail(
+          Invariant.GracefulStop,
+          `${this.id} stops before ${call.id} is answered`,
+        );
       }
     }
     this.kill();
@@ -244,7 +265,7 @@
 
   #tick(): void {
     this.handle({ kind: "tick" });
-    const jitterMs = this.#world.random.getInteger(0, MAX_JITTER_MS);
+    const jitterMs = this.#world.random.drawInteger(0, MAX_JITTER_MS);
     this.runLocal(TICK_INTERVAL_MS + jitterMs, () => this.#tick());
   }
 
--- a/test/fuzz/event_queue.ts
+++ b/test/fuzz/event_queue.ts
@@ -1,4 +1,8 @@
-/** Steps to run at points of the model's time, in order; equal times run in the order of scheduling. */
+/**
+ * Event queue of the simulation, with a simulated clock. Steps run in the order
+ * of their times; steps of the same time run in the order in which they were
+ * scheduled.
+ */
 
 interface ScheduledStep {
   at: number;
@@ -11,7 +15,7 @@
   #now = 0;
   #lastSequence = 0;
 
-  /** The model's time, in milliseconds. */
+  /** Simulated time, in milliseconds. */
   get now(): number {
     return this.#now;
   }
@@ -22,7 +26,10 @@
     this.#push({ at, sequence: this.#lastSequence, run });
   }
 
-  /** Runs every step that is due within the span, then moves the time to its end. */
+  /**
+   * Runs every step that is due within the time span, then sets the clock to
+   * its end.
+   */
   advance(spanMs: number): void {
     const until = this.#now + spanMs;
     for (
@@ -42,7 +49,7 @@
     this.#heap.push(step);
     while (index > 0) {
       const parent = (index - 1) >> 1;
-      if (!isEarlier(step, this.#heap[parent]!)) break;
+      if (!isBefore(step, this.#heap[parent]!)) break;
       this.#heap[index] = this.#heap[parent]!;
       index = parent;
     }
@@ -58,10 +65,10 @@
       let child = 2 * index + 1;
       if (child >= size) break;
       const right = child + 1;
-      if (right < size && isEarlier(this.#heap[right]!, this.#heap[child]!)) {
+      if (right < size && isBefore(this.#heap[right]!, this.#heap[child]!)) {
         child = right;
       }
-      if (!isEarlier(this.#heap[child]!, last)) break;
+      if (!isBefore(this.#heap[child]!, last)) break;
       this.#heap[index] = this.#heap[child]!;
       index = child;
     }
@@ -69,6 +76,6 @@
   }
 }
 
-function isEarlier(a: ScheduledStep, b: ScheduledStep): boolean {
+function isBefore(a: ScheduledStep, b: ScheduledStep): boolean {
   return a.at < b.at || (a.at === b.at && a.sequence < b.sequence);
 }
--- a/test/fuzz/fleet_layout.ts
+++ b/test/fuzz/fleet_layout.ts
@@ -1,4 +1,7 @@
-/** The fleet that the fuzzer drives: hosts, pools, routes and the edits that operators make. */
+/**
+ * Configuration of the fleet that the fuzzer simulates: hosts, pools and
+ * routes, and the edits that operators make to the tables.
+ */
 import {
   type CoreSettings,
   DEFAULT_CORE_SETTINGS,
@@ -28,20 +31,20 @@
 export const UPSTREAM_IDS = [...ENGINE_IDS, ...SERVICE_IDS];
 export const PLATFORM_ID = "platform";
 export const NODE_IDS = [...DAEMON_IDS, ...UPSTREAM_IDS, PLATFORM_ID];
-export const ENGINE_BATCH = 4;
+export const ENGINE_BATCH_SIZE = 4;
 
 const ENGINE_POOL = "writers";
 const SERVICE_POOL = "kassa";
 const ADAPTER_COUNT = 5;
 
-interface RouteSeed {
+interface RouteTemplate {
   name: string;
   customer: string;
   pool: string;
   idempotent: boolean;
 }
 
-const ROUTE_SEEDS: readonly RouteSeed[] = [
+const ROUTE_TEMPLATES: readonly RouteTemplate[] = [
   { name: "plan", customer: "derwent", pool: ENGINE_POOL, idempotent: true },
   { name: "brief", customer: "derwent", pool: ENGINE_POOL, idempotent: true },
   { name: "letter", customer: "solljus", pool: ENGINE_POOL, idempotent: true },
@@ -61,9 +64,9 @@
   },
 ];
 
-export const ROUTE_COUNT = ROUTE_SEEDS.length;
+export const ROUTE_COUNT = ROUTE_TEMPLATES.length;
 
-/** Returns the failure domain that the name of a host carries. */
+/** Returns the failure domain, which the host's name contains. */
 export function getFailureDomain(hostId: string): string {
   return hostId.includes("-a") ? "fd-a" : "fd-b";
 }
@@ -80,7 +83,7 @@
   }));
 }
 
-/** What differs between the engines of one run and another. */
+/** Properties of the engines that are drawn for each run. */
 export interface EngineTraits {
   slots: number;
   checksFencing: boolean;
@@ -94,7 +97,7 @@
       tokenDigests: [String(index).repeat(64)],
       share: 1,
     })),
-    routes: ROUTE_SEEDS.map(createRoute),
+    routes: ROUTE_TEMPLATES.map(createRoute),
     pools: [
       createPool(ENGINE_POOL, PoolKind.Engine, traits),
       createPool(SERVICE_POOL, PoolKind.Service, {
@@ -105,7 +108,11 @@
   };
 }
 
-/** Returns the next revision, in which one route names another adapter, version or longest run. */
+/**
+ * Returns the next revision of the tables, in which one route has a different
+ * adapter, version, priority or maximum run time, or an unknown pool if the
+ * edit is invalid.
+ */
 export function editTables(
   tables: TablesStructure,
   edit: { routeIndex: number; choice: number; isInvalid: boolean },
@@ -125,10 +132,10 @@
   return { ...tables, revision, routes };
 }
 
-function createRoute(seed: RouteSeed, index: number): RouteStructure {
-  const isEngine = seed.pool === ENGINE_POOL;
+function createRoute(template: RouteTemplate, index: number): RouteStructure {
+  const isEngine = template.pool === ENGINE_POOL;
   return {
-    ...seed,
+    ...template,
     adapter: isEngine ? `adapter-${index % ADAPTER_COUNT}` : "",
     version: isEngine ? "v1" : "",
     priority: Priority.Standard,
@@ -150,7 +157,7 @@
     baseModel: isEngine ? "base" : "",
     failureDomains: ["fd-a", "fd-b"],
     slots: traits.slots,
-    batchSize: ENGINE_BATCH,
+    batchSize: ENGINE_BATCH_SIZE,
     fencing: traits.checksFencing ? Fencing.Checked : Fencing.Ignored,
     loadStallWeight: 1,
     batchEfficiencyWeight: 1,
--- a/test/fuzz/fuzz_run.ts
+++ b/test/fuzz/fuzz_run.ts
@@ -1,11 +1,14 @@
-/** Runs drawn commands against a fresh fleet, heals it and checks that it serves again. */
+/**
+ * Applies drawn commands to a new simulated fleet, then removes all faults and
+ * checks that the fleet serves every route again.
+ */
 import fc from "fast-check";
 import { applyCommand, type Step, steps } from "./commands.ts";
 import { DAEMON_IDS, type EngineTraits, ROUTE_COUNT } from "./fleet_layout.ts";
-import { type BreachError, FuzzPromise } from "./oracle.ts";
+import { Invariant, type InvariantError } from "./oracle.ts";
 import { World } from "./world.ts";
 
-/** Everything that one run is made from. */
+/** Input that determines a run completely. */
 export interface RunInput {
   worldSeed: number;
   traits: EngineTraits;
@@ -13,24 +16,24 @@
   steps: Step[];
 }
 
-/** An idempotent route to an engine, whose requests are retried. */
+/** Index of an idempotent route to an engine, whose requests are retried. */
 const CRASHING_ROUTE = 0;
 const CRASHING_SENDS = 2;
-/** Longer than a strike takes to be known everywhere. */
+/** Longer than the dissemination of a strike to all daemons takes. */
 const CRASHING_WAIT_MS = 3_500;
 
 export interface FuzzOptions {
   seed: number;
   runs: number;
   path?: string;
-  keepsUnfencedDomainsWhole: boolean;
-  /** Bound of the runs spent on finding a smaller case. */
+  keepsUnfencedDomainsConnected: boolean;
+  /** Maximum number of runs that are spent on shrinking a failing case. */
   maxShrinkRuns: number;
 }
 
 export interface FuzzFailure {
-  breach: BreachError;
-  /** Runs before the breach, itself included. */
+  violation: InvariantError;
+  /** Number of the run in which the violation was found, counted from 1. */
   foundInRun: number;
   path: string;
   input: RunInput;
@@ -40,15 +43,21 @@
 export interface FuzzResult {
   runs: number;
   failure: FuzzFailure | undefined;
-  /** What the daemons counted, over all runs. */
+  /** Sums of the counters of all daemons over all runs. */
   counts: ReadonlyMap<string, number>;
 }
 
-/** Time in which a healed fleet settles: dead peers, old leases and the longest runs are over. */
-const SETTLE_MS = 16_000;
-/** Time in which a revision must be in force after the heal. */
+/**
+ * Time after which a fleet without faults has recovered: dead peers are
+ * detected, old leases have expired and the longest runs have ended.
+ */
+const RECOVERY_MS = 16_000;
+/**
+ * Maximum time after the removal of all faults until every daemon uses the
+ * newest revision.
+ */
 const CONFIGURATION_BOUND_MS = 7_000;
-const PROBE_TRIES = 4;
+const MAX_PROBE_ATTEMPTS = 4;
 const PROBE_WAIT_MS = 4_500;
 
 const inputs: fc.Arbitrary<RunInput> = fc.record({
@@ -61,7 +70,7 @@
   steps,
 });
 
-/** Draws inputs from the seed and runs them until one breaks a promise. */
+/** Draws inputs from the seed and runs them until one violates an invariant. */
 export function runFuzz(options: FuzzOptions): FuzzResult {
   const counts = new Map<string, number>();
   let failure: Omit<FuzzFailure, "path"> | undefined;
@@ -72,14 +81,14 @@
     if (options.path !== undefined && runs >= 1) return;
     if (failure) shrinkRuns += 1;
     else runs += 1;
-    const world = runInput(input, options.keepsUnfencedDomainsWhole);
+    const world = runInput(input, options.keepsUnfencedDomainsConnected);
     if (!failure) addCounts(counts, world.counts);
-    const { breach } = world.oracle;
-    if (!breach) return;
-    if (failure && failure.breach.promise !== breach.promise) return;
+    const { violation } = world.oracle;
+    if (!violation) return;
+    if (failure && failure.violation.invariant !== violation.invariant) return;
     const foundInRun = failure?.foundInRun ?? runs;
-    failure = { breach, foundInRun, input, trace: world.trace.getLines() };
-    throw breach;
+    failure = { violation, foundInRun, input, trace: world.trace.getLines() };
+    throw violation;
   });
   const details = fc.check(property, {
     seed: options.seed,
@@ -98,30 +107,30 @@
   };
 }
 
-/** Runs one input to its end or its first breach. */
+/** Runs one input to its end or to the first violation. */
 export function runInput(
   input: RunInput,
-  keepsUnfencedDomainsWhole = false,
+  keepsUnfencedDomainsConnected = false,
 ): World {
   const world = new World({
     seed: input.worldSeed,
     traits: input.traits,
     trafficIntervalMs: input.trafficIntervalMs,
-    keepsUnfencedDomainsWhole,
+    keepsUnfencedDomainsConnected,
   });
   world.advance(2_000);
   for (const step of input.steps) {
-    if (world.oracle.breach) return world;
+    if (world.oracle.violation) return world;
     applyCommand(world, step.command);
     world.advance(step.afterMs);
   }
-  world.trace.add("FUZZER", "heals everything");
-  world.heal();
+  world.trace.add("FUZZER", "removes all faults");
+  world.clearFaults();
   checkConfiguration(world);
-  checkAnswers(world);
-  checkProbes(world);
-  checkCrashBound(world);
-  if (world.oracle.breach) describeDaemons(world);
+  checkCallsAnswered(world);
+  checkServing(world);
+  checkCrashLimit(world);
+  if (world.oracle.violation) describeDaemons(world);
   return world;
 }
 
@@ -137,67 +146,77 @@
   for (const daemon of world.getDaemons()) {
     if (!daemon.isAlive || daemon.getRevision() === expected) continue;
     world.oracle.fail(
-      FuzzPromise.Configuration,
-      `${daemon.id} has revision ${daemon.getRevision()}, not ${expected}, after the heal`,
+      Invariant.Configuration,
+      `${daemon.id} has revision ${daemon.getRevision()}, not ${expected}, after the removal of all faults`,
     );
   }
 }
 
-function checkAnswers(world: World): void {
-  world.advance(SETTLE_MS - CONFIGURATION_BOUND_MS);
+function checkCallsAnswered(world: World): void {
+  world.advance(RECOVERY_MS - CONFIGURATION_BOUND_MS);
   for (const call of world.oracle.getCalls()) {
     if (call.end !== undefined || call.isCallerGone) continue;
-    world.oracle.fail(FuzzPromise.Liveness, `${call.id} has no answer`);
+    world.oracle.fail(Invariant.Liveness, `${call.id} is not answered`);
   }
   for (const daemon of world.getDaemons()) {
     if (daemon.isAlive && daemon.isStopping) {
-      world.oracle.fail(FuzzPromise.GracefulStop, `${daemon.id} never stops`);
+      world.oracle.fail(
+        Invariant.GracefulStop,
+        `${daemon.id} does not complete its stop`,
+      );
     }
     daemon.start();
   }
   world.advance(2_500);
 }
 
-/** Sends new work on every route, again when told that it did not run. */
-function checkProbes(world: World): void {
+/**
+ * Sends new work on every route and checks that it completes. Where it does
+ * not, new work is sent to another daemon, in up to MAX_PROBE_ATTEMPTS
+ * attempts.
+ */
+function checkServing(world: World): void {
   let open = Array.from({ length: ROUTE_COUNT }, (_, routeIndex) => ({
     routeIndex,
-    work: undefined as ReturnType<World["createWork"]> | undefined,
+    workItem: undefined as ReturnType<World["createWorkItem"]> | undefined,
   }));
-  for (let attempt = 0; attempt < PROBE_TRIES; attempt += 1) {
+  for (let attempt = 0; attempt < MAX_PROBE_ATTEMPTS; attempt += 1) {
     for (const probe of open) {
-      probe.work = world.createWork({
+      probe.workItem = world.createWorkItem({
         routeIndex: probe.routeIndex,
         durationMs: 50,
         isStream: false,
         isCrashing: false,
       });
       const index = (probe.routeIndex + attempt) % DAEMON_IDS.length;
-      world.sendCall(probe.work, DAEMON_IDS[index]!);
+      world.sendCall(probe.workItem, DAEMON_IDS[index]!);
     }
     world.advance(PROBE_WAIT_MS);
-    open = open.filter((probe) => probe.work?.completedRuns === 0);
-    if (open.length === 0 || world.oracle.breach) return;
+    open = open.filter((probe) => probe.workItem?.completedRuns === 0);
+    if (open.length === 0 || world.oracle.violation) return;
   }
-  for (const { work } of open) {
+  for (const { workItem } of open) {
     world.oracle.fail(
-      FuzzPromise.Liveness,
-      `new work ${work?.id} on ${work?.route} is not served`,
+      Invariant.Liveness,
+      `new work ${workItem?.id} on ${workItem?.route} is not served`,
     );
   }
 }
 
-/** Sends a crashing request, and again elsewhere, while nothing else is wrong; the oracle counts what it kills. */
-function checkCrashBound(world: World): void {
-  if (world.oracle.breach) return;
-  const work = world.createWork({
+/**
+ * Sends a crashing request to one daemon and then to another, while the fleet
+ * has no other faults; the oracle limits the number of upstreams that crash.
+ */
+function checkCrashLimit(world: World): void {
+  if (world.oracle.violation) return;
+  const workItem = world.createWorkItem({
     routeIndex: CRASHING_ROUTE,
     durationMs: 50,
     isStream: false,
     isCrashing: true,
   });
   for (const daemon of DAEMON_IDS.slice(0, CRASHING_SENDS)) {
-    world.sendCall(work, daemon);
+    world.sendCall(workItem, daemon);
     world.advance(CRASHING_WAIT_MS);
   }
 }
--- a/test/fuzz/fuzz_test.ts
+++ b/test/fuzz/fuzz_test.ts
@@ -2,10 +2,10 @@
 import * as assert from "uvu/assert";
 import { runFuzz, runInput } from "./fuzz_run.ts";
 
-/** Fixed, so that the verdict is the same every time. */
+/** Fixed seeds, so that the result is reproducible. */
 const SEEDS = [1, 2, 3];
 const RUNS = 20;
-const CALM_INPUT = {
+const INPUT_WITHOUT_STEPS = {
   worldSeed: 1,
   traits: { slots: 1, checksFencing: true },
   trafficIntervalMs: 400,
@@ -13,22 +13,22 @@
 };
 
 for (const seed of SEEDS) {
-  test(`no promise is broken in ${RUNS} runs of seed ${seed}`, () => {
+  test(`no invariant is violated in ${RUNS} runs of seed ${seed}`, () => {
     const { failure } = runFuzz({
       seed,
       runs: RUNS,
       maxShrinkRuns: 50,
-      keepsUnfencedDomainsWhole: false,
+      keepsUnfencedDomainsConnected: false,
     });
     const trace = failure?.trace.slice(-60).join("\n") ?? "";
-    assert.is(failure?.breach.message, undefined, trace);
+    assert.is(failure?.violation.message, undefined, trace);
   });
 }
 
-test("the same input gives the same trace", () => {
-  const first = runInput(CALM_INPUT).trace.getLines();
+test("two runs of the same input have the same trace", () => {
+  const first = runInput(INPUT_WITHOUT_STEPS).trace.getLines();
   assert.ok(first.length > 0);
-  assert.equal(runInput(CALM_INPUT).trace.getLines(), first);
+  assert.equal(runInput(INPUT_WITHOUT_STEPS).trace.getLines(), first);
 });
 
 test.run();
--- a/test/fuzz/main.ts
+++ b/test/fuzz/main.ts
@@ -1,4 +1,7 @@
-/** `npm run fuzz -- --seed N --runs K [--path P]`: looks for broken promises and prints how to see them again. */
+/**
+ * `npm run fuzz -- --seed N --runs K [--path P]`: searches for violated
+ * invariants and prints the command that reproduces a violation.
+ */
 import process from "node:process";
 import { performance } from "node:perf_hooks";
 import sade from "sade";
@@ -9,17 +12,25 @@
 const TRACE_LINES = 400;
 
 sade("fuzz", true)
-  .option("--seed", "Seed of the drawn commands", 1)
-  .option("--runs", "Runs, each with a fleet of its own", DEFAULT_RUNS)
-  .option("--path", "Path of a case, as a breach printed it")
-  .option("--shrink", "Runs spent on a smaller case", DEFAULT_SHRINK_RUNS)
-  .option("--lines", "Last lines of the trace that are printed", TRACE_LINES)
+  .option("--seed", "Seed from which the inputs are drawn", 1)
+  .option("--runs", "Number of runs, each with a new fleet", DEFAULT_RUNS)
+  .option("--path", "Path of a failing case, as printed with its violation")
+  .option(
+    "--shrink",
+    "Maximum number of runs spent on shrinking",
+    DEFAULT_SHRINK_RUNS,
+  )
+  .option(
+    "--lines",
+    "Number of lines printed from the end of the trace",
+    TRACE_LINES,
+  )
   .option(
     "--whole",
-    "Keep daemons of a failure domain together while engines ignore fencing",
+    "Never partition a failure domain's daemons if the engines ignore fencing",
     false,
   )
-  .option("--counts", "Print what the daemons counted", false)
+  .option("--counts", "Print the daemons' counters", false)
   .action((flags: Record<string, unknown>) => {
     const seed = Number(flags["seed"]);
     const startedAt = performance.now();
@@ -27,7 +38,7 @@
       seed,
       runs: Number(flags["runs"]),
       maxShrinkRuns: Number(flags["shrink"]),
-      keepsUnfencedDomainsWhole: flags["whole"] === true,
+      keepsUnfencedDomainsConnected: flags["whole"] === true,
       ...(flags["path"] === undefined ? {} : { path: String(flags["path"]) }),
     });
     const seconds = (performance.now() - startedAt) / 1_000;
@@ -56,8 +67,10 @@
   const { slots, checksFencing } = failure.input.traits;
   const fencing = checksFencing ? "checked" : "ignored";
   console.log(`engines with ${slots} slots, fencing ${fencing}`);
-  console.log(`BREACH in run ${failure.foundInRun}: ${failure.breach.message}`);
   console.log(
-    `again: npm run fuzz -- --seed ${options.seed} --path ${failure.path} --runs 1`,
+    `BREACH in run ${failure.foundInRun}: ${failure.violation.message}`,
+  );
+  console.log(
+    `to reproduce: npm run fuzz -- --seed ${options.seed} --path ${failure.path} --runs 1`,
   );
 }
--- a/test/fuzz/model_platform.ts
+++ b/test/fuzz/model_platform.ts
@@ -1,4 +1,7 @@
-/** The platform of the model: a configuration service, up, down or stale, and a host list with a lag. */
+/**
+ * Simulated platform: a configuration service that is up, down or stale, and a
+ * host list that is returned with a delay.
+ */
 import type { CoreEvent } from "../../src/core/events.ts";
 import type {
   HostListStructure,
@@ -9,10 +12,10 @@
 import type { ModelNetwork } from "./model_network.ts";
 import type { RandomSource } from "./random_source.ts";
 
-export type ServiceMode = "up" | "down" | "stale";
+export type PlatformMode = "up" | "down" | "stale";
 
-const MAX_TRAVEL_MS = 20;
-/** Revisions by which a stale service is behind. */
+const MAX_READ_DELAY_MS = 20;
+/** Number of revisions by which a stale service lags behind. */
 const STALE_REVISIONS = 2;
 
 interface DatedHostList {
@@ -27,7 +30,7 @@
   readonly #history: TablesStructure[];
   readonly #hostLists: DatedHostList[];
   readonly #leaving = new Set<string>();
-  mode: ServiceMode = "up";
+  mode: PlatformMode = "up";
   hostLagMs = 100;
 
   constructor(
@@ -62,12 +65,15 @@
     });
   }
 
-  /** Answers a daemon's reading of both, or tells it that there is no way. */
+  /**
+   * Returns the tables and the host list to a daemon, or tells it that the
+   * platform is unreachable.
+   */
   poll(daemonId: string, answer: (events: CoreEvent[]) => void): void {
     const isCut = this.#network.isConnectionCut(daemonId, PLATFORM_ID);
     const events = isCut ? [UNREACHABLE] : this.#read();
     this.#queue.schedule(
-      this.#random.getInteger(1, MAX_TRAVEL_MS),
+      this.#random.drawInteger(1, MAX_READ_DELAY_MS),
       () => answer(events),
     );
   }
--- a/test/fuzz/model_upstream.ts
+++ b/test/fuzz/model_upstream.ts
@@ -1,13 +1,16 @@
-/** A model engine or plain service: slots, loads, runs, fencing, late reports and crashes. */
+/**
+ * Simulated upstream: an engine with adapter slots, loads, fencing, outdated
+ * reports and crashes, or a plain service.
+ */
 import type { UpstreamOrder } from "../../src/core/effects.ts";
 import type { OrderResult } from "../../src/core/events.ts";
 import type { UpstreamStateStructure } from "../../src/core/structures.ts";
 import type { EventQueue } from "./event_queue.ts";
-import { ENGINE_BATCH, type EngineTraits } from "./fleet_layout.ts";
+import { ENGINE_BATCH_SIZE, type EngineTraits } from "./fleet_layout.ts";
 import type { Oracle } from "./oracle.ts";
 import type { RandomSource } from "./random_source.ts";
 
-/** A call as it reaches an upstream. */
+/** A call as an upstream receives it. */
 export interface UpstreamCall {
   attemptId: string;
   callId: string;
@@ -15,12 +18,12 @@
   model: string;
   durationMs: number;
   timeoutMs: number;
-  /** Parts in which the answer comes; 1 for an answer sent whole. */
+  /** Number of parts of the answer; 1 if the answer is not streamed. */
   parts: number;
   isCrashing: boolean;
 }
 
-/** What an upstream sends back on the connection of a call. */
+/** Receives what an upstream sends back on the connection of a call. */
 export interface CallListener {
   receiveRefusal(): void;
   receivePart(index: number, isLast: boolean, servedModel: string): void;
@@ -38,7 +41,7 @@
 export interface UpstreamFaults {
   failLoads: number;
   refuseRuns: number;
-  crossAnswers: number;
+  wrongModelAnswers: number;
   reportLagMs: number;
   loadTimeMs: number;
 }
@@ -52,10 +55,10 @@
   oracle: Oracle;
 }
 
-export const CALM_FAULTS: UpstreamFaults = {
+export const DEFAULT_FAULTS: UpstreamFaults = {
   failLoads: 0,
   refuseRuns: 0,
-  crossAnswers: 0,
+  wrongModelAnswers: 0,
   reportLagMs: 100,
   loadTimeMs: 150,
 };
@@ -67,7 +70,7 @@
   #runs: UpstreamRun[] = [];
   #incarnation = 1;
   #fencing = 0;
-  faults = { ...CALM_FAULTS };
+  faults = { ...DEFAULT_FAULTS };
   isUp = true;
   isLeaving = false;
 
@@ -79,13 +82,16 @@
     return this.#options.id;
   }
 
-  /** Starts a call, or refuses it before it starts. */
+  /**
+   * Starts a run of the call, or refuses it if the model is not resident, the
+   * batch is full or refusals are injected.
+   */
   startRun(call: UpstreamCall, listener: CallListener): void {
     const { isEngine, oracle, queue } = this.#options;
     const running = this.#getRunning();
     const isRefused = this.faults.refuseRuns > 0 ||
       (isEngine && !this.#residents.has(call.model)) ||
-      (isEngine && running.length >= ENGINE_BATCH);
+      (isEngine && running.length >= ENGINE_BATCH_SIZE);
     if (isRefused) {
       this.faults.refuseRuns = Math.max(0, this.faults.refuseRuns - 1);
       listener.receiveRefusal();
@@ -101,7 +107,7 @@
     this.#runs.push(run);
     oracle.recordRunBegin(run);
     if (call.isCrashing) {
-      queue.schedule(this.#options.random.getInteger(0, 30), () => {
+      queue.schedule(this.#options.random.drawInteger(0, 30), () => {
         if (run.endedAt !== undefined) return;
         oracle.recordCrash(run);
         this.restart("crashed");
@@ -111,7 +117,7 @@
     this.#scheduleAnswer(run);
   }
 
-  /** Ends a run; returns false when it is not going on here. */
+  /** Cancels a run; returns false if it does not run here. */
   cancelRun(attemptId: string): boolean {
     const run = this.#getRunning().find((candidate) =>
       candidate.call.attemptId === attemptId
@@ -121,7 +127,7 @@
     return true;
   }
 
-  carryOut(
+  applyOrder(
     order: UpstreamOrder,
     fencing: number,
     reply: (result: OrderResult) => void,
@@ -151,7 +157,10 @@
     }
   }
 
-  /** Returns the state, in which the counts of runs are late. */
+  /**
+   * Returns the state. The counts of runs are those of `reportLagMs` ago; the
+   * residents are current.
+   */
   getState(): UpstreamStateStructure {
     const countedAt = this.#options.queue.now - this.faults.reportLagMs;
     const counted = this.#runs.filter((run) =>
@@ -170,7 +179,10 @@
     };
   }
 
-  /** Dies with all its runs and comes back empty. */
+  /**
+   * Ends all runs and restarts without resident adapters; the upstream is up
+   * again after a delay.
+   */
   restart(howRunsEnd: "died" | "crashed" = "died"): void {
     const { queue, random, oracle } = this.#options;
     for (const run of this.#getRunning()) this.#endRun(run, howRunsEnd);
@@ -182,18 +194,22 @@
     this.isUp = false;
     oracle.recordRestart(this.id);
     const incarnation = this.#incarnation;
-    queue.schedule(random.getInteger(20, 900), () => {
+    queue.schedule(random.drawInteger(20, 900), () => {
       if (incarnation === this.#incarnation) this.isUp = true;
     });
   }
 
-  /** Ends, after a while, the runs whose connection has closed; services go on. */
-  handleDaemonGone(daemonId: string): void {
+  /**
+   * Ends most runs of a daemon that has exited, after a delay: an engine
+   * detects the closed connection. Some runs, and all runs of services,
+   * continue.
+   */
+  handleDaemonExit(daemonId: string): void {
     const { queue, random, isEngine } = this.#options;
     for (const run of this.#getRunning()) {
       if (run.call.daemonId !== daemonId || !isEngine) continue;
-      if (random.hasChance(30)) continue;
-      queue.schedule(random.getInteger(0, 300), () => {
+      if (random.drawBoolean(30)) continue;
+      queue.schedule(random.drawInteger(0, 300), () => {
         if (run.endedAt === undefined) this.#endRun(run, "disconnected");
       });
     }
@@ -206,9 +222,9 @@
   #scheduleAnswer(run: UpstreamRun): void {
     const { queue } = this.#options;
     const { parts, durationMs, timeoutMs } = run.call;
-    const isCrossed = this.faults.crossAnswers > 0;
-    if (isCrossed) this.faults.crossAnswers -= 1;
-    const servedModel = isCrossed ? "other@0" : run.call.model;
+    const isWrongModel = this.faults.wrongModelAnswers > 0;
+    if (isWrongModel) this.faults.wrongModelAnswers -= 1;
+    const servedModel = isWrongModel ? "other@0" : run.call.model;
     for (let index = 0; index < parts; index += 1) {
       const delayMs = durationMs * (index + 1) / parts;
       if (delayMs >= timeoutMs) break;
@@ -220,7 +236,7 @@
       });
     }
     queue.schedule(timeoutMs, () => {
-      if (run.endedAt === undefined) this.#endRun(run, "overran");
+      if (run.endedAt === undefined) this.#endRun(run, "timed out");
     });
   }
 
--- a/test/fuzz/mutants.ts
+++ b/test/fuzz/mutants.ts
@@ -1,8 +1,11 @@
-/** Faults put into the core on purpose; the oracle must catch each within its runs. */
-import { FuzzPromise } from "./oracle.ts";
+/**
+ * Mutation tests of the fuzzers: each mutant is a fault that is inserted into
+ * the core, and an oracle must detect it within a limited number of runs.
+ */
+import { Invariant } from "./oracle.ts";
 
 export interface Patch {
-  /** Path from `src/core`. */
+  /** Path relative to `src/core`. */
   file: string;
   /** Text that occurs exactly once in the file. */
   search: string;
@@ -11,19 +14,25 @@
 
 export interface Mutant {
   name: string;
-  /** The promise that it breaks; another one may show it first. */
-  promise: FuzzPromise;
+  /**
+   * Invariant that the mutant violates; the oracle may detect a violation of
+   * another one first.
+   */
+  invariant: Invariant;
   patches: Patch[];
-  /** Seed that the mutant is tried with in place of the one given. */
+  /** Seed that is used instead of the one given on the command line. */
   seed?: number;
-  /** Whether the fuzzer of the right to order tries it, in place of the daemon's. */
-  isOfTenure?: true;
+  /**
+   * Whether the mutant is tested with the fuzzer of engine ownership instead of
+   * the fuzzer of whole daemons.
+   */
+  usesTenureFuzzer?: true;
 }
 
 export const MUTANTS: readonly Mutant[] = [
   {
-    name: "evict without looking at the leases",
-    promise: FuzzPromise.NoEvictionInUse,
+    name: "evict adapters that have leases",
+    invariant: Invariant.NoEvictionInUse,
     patches: [{
       file: "residency/slot_loader.ts",
       search: "return !this.#parts.leases.hasLeases(adapterKey) &&",
@@ -31,8 +40,8 @@
     }],
   },
   {
-    name: "evict at once after a takeover",
-    promise: FuzzPromise.NoEvictionInUse,
+    name: "evict immediately after a change of the owner",
+    invariant: Invariant.NoEvictionInUse,
     patches: [{
       file: "residency/ownership_claim.ts",
       search:
@@ -43,7 +52,7 @@
   {
     name: "hand over without the wait for earlier owners",
     seed: 12,
-    promise: FuzzPromise.NoEvictionInUse,
+    invariant: Invariant.NoEvictionInUse,
     patches: [{
       file: "residency/ownership_claim.ts",
       search: "predecessorWaitMs: Math.max(0, this.#evictionAllowedAt - now),",
@@ -51,8 +60,8 @@
     }],
   },
   {
-    name: "ignore the dispatch window",
-    promise: FuzzPromise.NoEvictionInUse,
+    name: "dispatch after the end of the dispatch window",
+    invariant: Invariant.NoEvictionInUse,
     patches: [{
       file: "execution/lease_group.ts",
       search: "grant.requestSentAtMs + grant.windowMs - marginMs",
@@ -60,9 +69,9 @@
     }],
   },
   {
-    name: "send an order however late",
+    name: "send orders that have expired",
     seed: 12,
-    promise: FuzzPromise.NoEvictionInUse,
+    invariant: Invariant.NoEvictionInUse,
     patches: [{
       file: "residency/pending_orders.ts",
       search: "const ORDER_VALIDITY_MS = 200;",
@@ -70,8 +79,8 @@
     }],
   },
   {
-    name: "return the credits of a repeated grant",
-    promise: FuzzPromise.NoEvictionInUse,
+    name: "return the credits of a duplicate grant",
+    invariant: Invariant.NoEvictionInUse,
     patches: [{
       file: "execution/lease_client.ts",
       search: "if (this.#seenLeaseIds.has(grant.leaseId)) return;",
@@ -79,8 +88,8 @@
     }],
   },
   {
-    name: "return the credit of a run that may go on",
-    promise: FuzzPromise.NoEvictionInUse,
+    name: "return the credit of a run that may continue",
+    invariant: Invariant.NoEvictionInUse,
     patches: [{
       file: "execution/attempt_runner.ts",
       search: "if (mayStillRun) this.#leases.abandonCredit",
@@ -88,8 +97,8 @@
     }],
   },
   {
-    name: "retry after the first byte",
-    promise: FuzzPromise.WholeAnswer,
+    name: "retry after the first byte of the answer",
+    invariant: Invariant.CompleteAnswer,
     patches: [{
       file: "execution/attempt_runner.ts",
       search: "result.bytesForwarded === 0",
@@ -97,8 +106,8 @@
     }],
   },
   {
-    name: "take an answer of another model for the right one",
-    promise: FuzzPromise.WholeAnswer,
+    name: "accept an answer of another model",
+    invariant: Invariant.CompleteAnswer,
     patches: [{
       file: "execution/attempt_runner.ts",
       search: 'case "completed":\n        this.#complete',
@@ -107,8 +116,8 @@
     }],
   },
   {
-    name: "dispatch by the newest table, not the pinned row",
-    promise: FuzzPromise.RightAdapter,
+    name: "dispatch by the newest tables, not the pinned ones",
+    invariant: Invariant.AdapterVersion,
     patches: [{
       file: "execution/attempt_runner.ts",
       search:
@@ -118,8 +127,8 @@
     }],
   },
   {
-    name: "retry a lost attempt that must not be repeated",
-    promise: FuzzPromise.AtMostOnce,
+    name: "retry a lost attempt that is not idempotent",
+    invariant: Invariant.AtMostOnce,
     patches: [{
       file: "execution/attempt_runner.ts",
       search: "const canRetry = isLive && request.route.idempotent &&",
@@ -128,7 +137,7 @@
   },
   {
     name: "grant a ticket twice",
-    promise: FuzzPromise.AtMostOnce,
+    invariant: Invariant.AtMostOnce,
     patches: [{
       file: "execution/ticket_issuer.ts",
       search: "return createVerdict(claim, ClaimVerdict.InProgress);",
@@ -136,8 +145,8 @@
     }],
   },
   {
-    name: "release a ticket whose run may have been",
-    promise: FuzzPromise.AtMostOnce,
+    name: "release a ticket whose request may have run",
+    invariant: Invariant.AtMostOnce,
     patches: [{
       file: "execution/ticket_admission.ts",
       search: "outcome === Outcome.NotRun ? undefined : {",
@@ -146,7 +155,7 @@
   },
   {
     name: "forget that an attempt may have run",
-    promise: FuzzPromise.NotRunIsTrue,
+    invariant: Invariant.NotRunAccurate,
     patches: [{
       file: "execution/attempt_runner.ts",
       search: "attempt.request.mayHaveRun = true;",
@@ -154,8 +163,8 @@
     }],
   },
   {
-    name: "call an unclaimed ticket unused",
-    promise: FuzzPromise.NotRunIsTrue,
+    name: "report notRun for an unclaimed ticket",
+    invariant: Invariant.NotRunAccurate,
     patches: [{
       file: "outcomes.ts",
       search:
@@ -166,7 +175,7 @@
   },
   {
     name: "dispatch to a leaving upstream",
-    promise: FuzzPromise.LeavingIsLeft,
+    invariant: Invariant.NoWorkForLeaving,
     patches: [{
       file: "residency/upstream_reader.ts",
       search: 'return this.#context.options.host.state === "leaving" ||',
@@ -178,8 +187,8 @@
     }],
   },
   {
-    name: "stop without waiting for runs",
-    promise: FuzzPromise.GracefulStop,
+    name: "stop without waiting for runs to end",
+    invariant: Invariant.GracefulStop,
     patches: [{
       file: "daemon_core.ts",
       search: "if (!this.#executor.isDrained()) return false;",
@@ -188,7 +197,7 @@
   },
   {
     name: "accept an older revision",
-    promise: FuzzPromise.Configuration,
+    invariant: Invariant.Configuration,
     patches: [{
       file: "tables/table_replica.ts",
       search: "if (tables.revision <= this.getTablesRevision())",
@@ -196,8 +205,8 @@
     }],
   },
   {
-    name: "never take the tables again",
-    promise: FuzzPromise.Configuration,
+    name: "ignore all tables after the first",
+    invariant: Invariant.Configuration,
     patches: [{
       file: "tables/table_replica.ts",
       search: "if (tables.revision <= this.getTablesRevision())",
@@ -205,8 +214,8 @@
     }],
   },
   {
-    name: "count neighbours as crashing",
-    promise: FuzzPromise.CrashBound,
+    name: "add strikes to concurrent requests",
+    invariant: Invariant.CrashBound,
     patches: [{
       file: "limits/crash_quarantine.ts",
       search: "+ (wasAlone ? 1 : 0)",
@@ -215,7 +224,7 @@
   },
   {
     name: "never refuse a crashing request",
-    promise: FuzzPromise.CrashBound,
+    invariant: Invariant.CrashBound,
     patches: [{
       file: "limits/crash_quarantine.ts",
       search: "return strikes >= 1 && strikes + 1 >= this.#options.maxStrikes;",
@@ -223,8 +232,8 @@
     }],
   },
   {
-    name: "never ask an owner again",
-    promise: FuzzPromise.Liveness,
+    name: "never repeat an unanswered lease request",
+    invariant: Invariant.Liveness,
     patches: [{
       file: "execution/lease_client.ts",
       search: "now - pending.sentAt >= settings.leaseReplyTimeoutMs",
@@ -238,7 +247,7 @@
   },
   {
     name: "read the wall clock",
-    promise: FuzzPromise.Robustness,
+    invariant: Invariant.Robustness,
     patches: [{
       file: "limits/retry_budget.ts",
       search: "if (this.#savedRetries < 1) return false;",
@@ -246,9 +255,9 @@
     }],
   },
   {
-    name: "claim an engine before a term has passed",
-    isOfTenure: true,
-    promise: FuzzPromise.OneHolder,
+    name: "claim an engine before a term has elapsed",
+    usesTenureFuzzer: true,
+    invariant: Invariant.NoAlternation,
     patches: [{
       file: "ordering/engine_ownership.ts",
       search:
@@ -257,9 +266,9 @@
     }],
   },
   {
-    name: "follow another daemon's orders by the count of a report",
-    isOfTenure: true,
-    promise: FuzzPromise.OneHolder,
+    name: "adopt another daemon's order sequence",
+    usesTenureFuzzer: true,
+    invariant: Invariant.NoAlternation,
     patches: [{
       file: "ordering/engine_ownership.ts",
       search:
@@ -269,9 +278,9 @@
     }],
   },
   {
-    name: "settle a doubtful order by whatever count is reported",
-    isOfTenure: true,
-    promise: FuzzPromise.OneHolder,
+    name: "settle an unanswered order by any sequence",
+    usesTenureFuzzer: true,
+    invariant: Invariant.NoAlternation,
     patches: [{
       file: "ordering/engine_ownership.ts",
       search: "if (!isOwn) return this.#depose(now);",
@@ -279,9 +288,9 @@
     }],
   },
   {
-    name: "order an engine that may have restarted unseen",
-    isOfTenure: true,
-    promise: FuzzPromise.OneHolder,
+    name: "order an engine that may have restarted",
+    usesTenureFuzzer: true,
+    invariant: Invariant.NoAlternation,
     patches: [{
       file: "ordering/engine_ownership.ts",
       search: "(isContested ? CONTESTED_VERIFIED_MS : VERIFIED_MS);",
@@ -290,8 +299,8 @@
   },
   {
     name: "do not rest after a blind order",
-    isOfTenure: true,
-    promise: FuzzPromise.OneHolder,
+    usesTenureFuzzer: true,
+    invariant: Invariant.NoAlternation,
     patches: [{
       file: "ordering/engine_ownership.ts",
       search:
@@ -300,9 +309,9 @@
     }],
   },
   {
-    name: "prove the right by an eviction of a rival's share",
-    isOfTenure: true,
-    promise: FuzzPromise.OneHolder,
+    name: "prove ownership with another claimant's eviction",
+    usesTenureFuzzer: true,
+    invariant: Invariant.NoAlternation,
     patches: [{
       file: "ordering/proving_order.ts",
       search: "const own = selectVictim(input, listOwnShare(input));",
--- a/test/fuzz/mutants_main.ts
+++ b/test/fuzz/mutants_main.ts
@@ -1,4 +1,7 @@
-/** `npm run fuzz:mutants`: puts each mutant into a copy of the core and checks that the oracle catches it. */
+/**
+ * `npm run fuzz:mutants`: applies each mutant to a copy of the project and
+ * checks that the fuzzer detects it.
+ */
 import { spawn } from "node:child_process";
 import {
   cpSync,
@@ -13,12 +16,12 @@
 import process from "node:process";
 import sade from "sade";
 import { type Mutant, MUTANTS } from "./mutants.ts";
-import { FuzzPromise } from "./oracle.ts";
+import { Invariant } from "./oracle.ts";
 
 const DEFAULT_SEED = 1;
 const DEFAULT_RUNS = 400;
 const DEFAULT_PARALLEL = 3;
-/** What a copy of the project needs for the fuzzer to run in it. */
+/** Paths that the fuzzers need in a copy of the project. */
 const COPIED_PATHS = [
   "src/core",
   "src/charts",
@@ -27,21 +30,30 @@
   "tsconfig.json",
 ];
 
-/** The core as it is: nothing may be caught in it, or a catch would prove nothing. */
+/**
+ * The unchanged core. The fuzzer must not report a violation in it; otherwise,
+ * a violation in a mutant would prove nothing.
+ */
 const BASELINE: Mutant = {
   name: "none",
-  promise: FuzzPromise.Robustness,
+  invariant: Invariant.Robustness,
   patches: [],
 };
 
-/** No shrinking and no trace: only the verdict counts. */
+/**
+ * Flags of the daemon fuzzer: shrinking and the trace are disabled, since only
+ * the verdict is needed.
+ */
 const DAEMON_FLAGS = ["--whole", "--shrink", "0", "--lines", "0"];
 
-/** Seeds of the right to order; the core itself fails at one beyond them (KNOWN-RED.txt). */
+/**
+ * Maximum number of seeds for the fuzzer of engine ownership. The unchanged
+ * core fails with a seed above it, which is a known fault (KNOWN-RED.txt).
+ */
 const MAX_TENURE_RUNS = 160;
 
 type Verdict =
-  | { kind: "caught"; run: number; promise: string }
+  | { kind: "caught"; run: number; invariant: string }
   | { kind: "stale"; detail: string }
   | { kind: "missed"; detail: string };
 
@@ -51,10 +63,18 @@
 }
 
 sade("fuzz:mutants", true)
-  .option("--seed", "Seed of the drawn commands", DEFAULT_SEED)
-  .option("--runs", "Runs within which each must be caught", DEFAULT_RUNS)
-  .option("--only", "Part of the names of the mutants to try", "")
-  .option("--parallel", "Mutants tried at once", DEFAULT_PARALLEL)
+  .option("--seed", "Seed from which the inputs are drawn", DEFAULT_SEED)
+  .option(
+    "--runs",
+    "Maximum number of runs until a mutant must be caught",
+    DEFAULT_RUNS,
+  )
+  .option("--only", "Test only mutants whose names contain this text", "")
+  .option(
+    "--parallel",
+    "Number of mutants tested in parallel",
+    DEFAULT_PARALLEL,
+  )
   .action(async (flags: Record<string, unknown>) => {
     const options = {
       seed: Number(flags["seed"]),
@@ -64,46 +84,52 @@
       mutant.name.includes(String(flags["only"]))
     );
     for (const [baseline, seed] of listBaselines(waiting, options.seed)) {
-      const own = { ...options, seed };
-      const verdict = await tryMutant(baseline, own);
+      const seeded = { ...options, seed };
+      const verdict = await tryMutant(baseline, seeded);
       if (verdict.kind === "missed") continue;
-      console.log(`the core itself: ${formatRow(baseline, verdict, own)}`);
+      console.log(`unchanged core: ${formatRow(baseline, verdict, seeded)}`);
       process.exitCode = 1;
       return;
     }
     let failures = 0;
-    const work = async (): Promise<void> => {
+    const runWorker = async (): Promise<void> => {
       for (let next = waiting.shift(); next; next = waiting.shift()) {
-        const own = { ...options, seed: next.seed ?? options.seed };
-        const verdict = await tryMutant(next, own);
+        const seeded = { ...options, seed: next.seed ?? options.seed };
+        const verdict = await tryMutant(next, seeded);
         if (verdict.kind !== "caught") failures += 1;
-        console.log(formatRow(next, verdict, own));
+        console.log(formatRow(next, verdict, seeded));
       }
     };
-    const workers = Array.from({ length: Number(flags["parallel"]) }, work);
+    const workers = Array.from(
+      { length: Number(flags["parallel"]) },
+      runWorker,
+    );
     await Promise.all(workers);
     console.log(
-      failures === 0 ? "every mutant caught" : `${failures} not caught`,
+      failures === 0 ? "all mutants caught" : `${failures} mutants not caught`,
     );
     process.exitCode = failures === 0 ? 0 : 1;
   })
   .parse(process.argv);
 
-/** Returns the core as it is with each seed that a fuzzer will be tried with. */
+/**
+ * Returns the unchanged core, for each fuzzer and each seed with which mutants
+ * are tested.
+ */
 function listBaselines(
   mutants: readonly Mutant[],
   seed: number,
 ): [baseline: Mutant, seed: number][] {
   const seeds = new Set(
-    mutants.filter((mutant) => !mutant.isOfTenure)
+    mutants.filter((mutant) => !mutant.usesTenureFuzzer)
       .map((mutant) => mutant.seed ?? seed),
   );
-  const baselines: [Mutant, number][] = [...seeds].map((own) => [
+  const baselines: [Mutant, number][] = [...seeds].map((mutantSeed) => [
     BASELINE,
-    own,
+    mutantSeed,
   ]);
-  if (mutants.some((mutant) => mutant.isOfTenure)) {
-    baselines.push([{ ...BASELINE, isOfTenure: true }, seed]);
+  if (mutants.some((mutant) => mutant.usesTenureFuzzer)) {
+    baselines.push([{ ...BASELINE, usesTenureFuzzer: true }, seed]);
   }
   return baselines;
 }
@@ -113,12 +139,12 @@
   verdict: Verdict,
   options: MutantOptions,
 ): string {
-  const name = `${mutant.name.padEnd(52)} ${mutant.promise.padEnd(50)}`;
+  const name = `${mutant.name.padEnd(52)} ${mutant.invariant.padEnd(50)}`;
   switch (verdict.kind) {
     case "caught": {
-      const by = verdict.promise === mutant.promise
+      const by = verdict.invariant === mutant.invariant
         ? ""
-        : ` as a breach of: ${verdict.promise}`;
+        : ` as a violation of: ${verdict.invariant}`;
       return `${name} caught in run ${verdict.run} of seed ${options.seed}${by}`;
     }
     case "stale":
@@ -159,7 +185,7 @@
   options: MutantOptions,
 ): Promise<string> {
   const flags = ["--seed", options.seed, "--runs", options.runs].map(String);
-  const program = mutant.isOfTenure
+  const program = mutant.usesTenureFuzzer
     ? ["test/fuzz/tenure_fuzz_test.ts"]
     : ["test/fuzz/main.ts", ...flags, ...DAEMON_FLAGS];
   const child = spawn(process.execPath, ["--import", "tsx", ...program], {
@@ -178,25 +204,25 @@
 }
 
 function readVerdict(mutant: Mutant, output: string): Verdict {
-  if (mutant.isOfTenure) return readTenureVerdict(mutant, output);
+  if (mutant.usesTenureFuzzer) return readTenureVerdict(mutant, output);
   const found = /BREACH in run (\d+): (.+?): /.exec(output);
   if (!found) {
-    const isWhole = /seed \d+: \d+ runs in/.test(output);
-    return { kind: "missed", detail: isWhole ? "" : output.slice(-300) };
+    const isComplete = /seed \d+: \d+ runs in/.test(output);
+    return { kind: "missed", detail: isComplete ? "" : output.slice(-300) };
   }
-  return { kind: "caught", run: Number(found[1]), promise: found[2] ?? "" };
+  return { kind: "caught", run: Number(found[1]), invariant: found[2] ?? "" };
 }
 
-/** The fuzzer of the right to order is a test with a case for each seed. */
+/** Reads the result of a uvu test file that has one test for each seed. */
 function readTenureVerdict(mutant: Mutant, output: string): Verdict {
   const found = /FAIL\s+"holders .+, seed (\d+)"/.exec(output);
   if (found) {
     return {
       kind: "caught",
       run: Number(found[1]),
-      promise: mutant.promise,
+      invariant: mutant.invariant,
     };
   }
-  const isWhole = /Passed:\s+\d+/.test(output);
-  return { kind: "missed", detail: isWhole ? "" : output.slice(-300) };
+  const isComplete = /Passed:\s+\d+/.test(output);
+  return { kind: "missed", detail: isComplete ? "" : output.slice(-300) };
 }
--- a/test/fuzz/oracle.ts
+++ b/test/fuzz/oracle.ts
@@ -1,43 +1,50 @@
 /**
- * Knows what ran where and what each caller was told, and checks the promises
- * at each of these steps. Shares no code with what it judges.
+ * Test oracle: records what ran on which upstream and what each caller
+ * received, and checks the invariants at each of these events. It shares no
+ * logic with the system under test, so that a fault cannot affect both.
  */
 import { Outcome, RefusalReason } from "../../src/core/outcomes.ts";
 import type { Call, CallEnd } from "./calls.ts";
 import type { UpstreamRun } from "./model_upstream.ts";
 import type { Trace } from "./trace.ts";
 
-/** The promises, as breaches name them. */
-export const FuzzPromise = {
-  RightAdapter: "right adapter and version",
+/** Invariants, with the texts by which violations name them. */
+export const Invariant = {
+  AdapterVersion: "right adapter and version",
   NoEvictionInUse: "no eviction in use",
-  WholeAnswer: "whole answer to the right caller",
-  NotRunIsTrue: "not run is true",
+  CompleteAnswer: "whole answer to the right caller",
+  NotRunAccurate: "not run is true",
   AtMostOnce: "at most once",
-  LeavingIsLeft: "no new work for a leaving upstream",
+  NoWorkForLeaving: "no new work for a leaving upstream",
   GracefulStop: "graceful stop",
   Configuration: "configuration in force and never back",
   CrashBound: "crashing requests are bounded, neighbours spared",
   Liveness: "every request is answered",
-  OneHolder: "holders of an engine take no turns",
+  NoAlternation: "holders of an engine take no turns",
   Robustness: "no event is refused and no wall clock is read",
 } as const;
-export type FuzzPromise = (typeof FuzzPromise)[keyof typeof FuzzPromise];
+export type Invariant = (typeof Invariant)[keyof typeof Invariant];
 
-/** A promise that was broken. */
-export class BreachError extends Error {
-  readonly promise: FuzzPromise;
+/** Violation of an invariant. */
+export class InvariantError extends Error {
+  readonly invariant: Invariant;
 
-  constructor(promise: FuzzPromise, detail: string) {
-    super(`${promise}: ${detail}`);
-    this.promise = promise;
+  constructor(invariant: Invariant, detail: string) {
+    super(`${invariant}: ${detail}`);
+    this.invariant = invariant;
   }
 }
 
-/** Time after which no daemon may begin work on an upstream that says it leaves. */
+/**
+ * Time after which no daemon may start a run on an upstream that reports that
+ * it is leaving.
+ */
 const LEAVING_BOUND_MS = 4_000;
-/** Time in which a death is found out and told to the peers. */
-const STRIKE_SPREAD_MS = 3_000;
+/**
+ * Maximum time in which the crash of an upstream is detected and the strike for
+ * it is disseminated to the other daemons.
+ */
+const STRIKE_DISSEMINATION_MS = 3_000;
 const MAX_STRIKES = 2;
 
 export class Oracle {
@@ -47,21 +54,27 @@
   readonly #leavingSince = new Map<string, number>();
   readonly #revisions = new Map<string, number>();
   #disturbedAt = 0;
-  breach: BreachError | undefined;
+  violation: InvariantError | undefined;
 
   constructor(readTime: () => number, trace: Trace) {
     this.#readTime = readTime;
     this.#trace = trace;
   }
 
-  /** Keeps the first breach; the run stops at the end of its step. */
-  fail(promise: FuzzPromise, detail: string): void {
-    if (this.breach) return;
-    this.#trace.add("ORACLE", `BREACH ${promise}: ${detail}`);
-    this.breach = new BreachError(promise, detail);
+  /**
+   * Records a violation. Only the first one is kept; the run ends after the
+   * current step.
+   */
+  fail(invariant: Invariant, detail: string): void {
+    if (this.violation) return;
+    this.#trace.add("ORACLE", `BREACH ${invariant}: ${detail}`);
+    this.violation = new InvariantError(invariant, detail);
   }
 
-  /** Notes that daemons or the ways between them are disturbed now. */
+  /**
+   * Records that daemons, or the connections between them, are faulty at
+   * present.
+   */
   recordDisturbance(): void {
     this.#disturbedAt = this.#readTime();
   }
@@ -87,34 +100,37 @@
     const call = this.#calls.get(run.call.callId);
     this.#trace.add(
       run.upstreamId,
-      `run begins: ${run.call.callId} as ${run.call.attemptId} on ${run.call.model}`,
+      `run starts: ${run.call.callId} as ${run.call.attemptId} on ${run.call.model}`,
     );
     if (!call) return;
-    const { work } = call;
+    const { workItem } = call;
     call.runs += 1;
-    work.runs += 1;
+    workItem.runs += 1;
     if (call.end?.kind === "refused" && call.end.outcome === Outcome.NotRun) {
       this.fail(
-        FuzzPromise.NotRunIsTrue,
-        `${call.id} runs after its caller was told that it did not`,
+        Invariant.NotRunAccurate,
+        `${call.id} runs after its caller was told that it did not run`,
       );
     }
     if (call.pinnedModel !== run.call.model) {
       this.fail(
-        FuzzPromise.RightAdapter,
-        `${call.id} runs on ${run.call.model}, pinned was ${call.pinnedModel}`,
+        Invariant.AdapterVersion,
+        `${call.id} runs on ${run.call.model} instead of the pinned ${call.pinnedModel}`,
       );
     }
-    if (!work.isIdempotent && work.runs > 1) {
-      this.fail(FuzzPromise.AtMostOnce, `${work.id} runs ${work.runs} times`);
+    if (!workItem.isIdempotent && workItem.runs > 1) {
+      this.fail(
+        Invariant.AtMostOnce,
+        `${workItem.id} runs ${workItem.runs} times`,
+      );
     }
     const since = this.#leavingSince.get(run.upstreamId);
     if (since !== undefined && this.#readTime() - since > LEAVING_BOUND_MS) {
       this.fail(
-        FuzzPromise.LeavingIsLeft,
-        `${run.upstreamId} says since ${
+        Invariant.NoWorkForLeaving,
+        `${run.upstreamId} reports since ${
           (since / 1_000).toFixed(3)
-        }s that it leaves, ${call.id} begins`,
+        }s that it is leaving, but ${call.id} starts`,
       );
     }
   }
@@ -122,33 +138,42 @@
   recordRunEnd(run: UpstreamRun, how: string): void {
     this.#trace.add(run.upstreamId, `run ${how}: ${run.call.attemptId}`);
     const call = this.#calls.get(run.call.callId);
-    if (call && how === "completed") call.work.completedRuns += 1;
-    if (call && how === "died") call.work.chanceDeaths += 1;
+    if (call && how === "completed") call.workItem.completedRuns += 1;
+    if (call && how === "died") call.workItem.unrelatedCrashes += 1;
   }
 
-  /** Records that a crash-marked run kills its upstream, before the upstream dies. */
+  /**
+   * Records that a run marked as crashing is about to crash its upstream, and
+   * checks the limit of such crashes. The limit applies only if no daemon or
+   * connection was disturbed since STRIKE_DISSEMINATION_MS before the first
+   * crash, and if the daemons had as much time to learn of the last crash
+   * before the call was sent, or all crashes come from one call.
+   */
   recordCrash(run: UpstreamRun): void {
     this.#trace.add(run.upstreamId, `crashed by ${run.call.callId}`);
     const call = this.#calls.get(run.call.callId);
     if (!call) return;
-    const { kills } = call.work;
-    const first = kills[0];
-    const last = kills.at(-1);
-    kills.push({ at: this.#readTime(), callId: call.id });
+    const { causedCrashes } = call.workItem;
+    const first = causedCrashes[0];
+    const last = causedCrashes.at(-1);
+    causedCrashes.push({ at: this.#readTime(), callId: call.id });
     if (first === undefined || last === undefined) return;
-    const isCalm = this.#disturbedAt < first.at - STRIKE_SPREAD_MS;
-    const hadTime = call.sentAt > last.at + STRIKE_SPREAD_MS ||
-      kills.every((kill) => kill.callId === call.id);
-    if (kills.length > MAX_STRIKES && isCalm && hadTime) {
+    const wasUndisturbed =
+      this.#disturbedAt < first.at - STRIKE_DISSEMINATION_MS;
+    const wereStrikesKnown = call.sentAt > last.at + STRIKE_DISSEMINATION_MS ||
+      causedCrashes.every((crash) => crash.callId === call.id);
+    if (
+      causedCrashes.length > MAX_STRIKES && wasUndisturbed && wereStrikesKnown
+    ) {
       this.fail(
-        FuzzPromise.CrashBound,
-        `${call.work.id} kills for the ${kills.length}th time`,
+        Invariant.CrashBound,
+        `${call.workItem.id} crashes an upstream for the ${causedCrashes.length}th time`,
       );
     }
   }
 
   recordRestart(upstreamId: string): void {
-    this.#trace.add(upstreamId, "restarts empty");
+    this.#trace.add(upstreamId, "restarts without adapters");
   }
 
   recordLoad(upstreamId: string, adapterKey: string, isDone: boolean): void {
@@ -167,44 +192,53 @@
     if (inUse.length === 0) return;
     const ids = inUse.map((run) => run.call.attemptId).join(", ");
     this.fail(
-      FuzzPromise.NoEvictionInUse,
-      `${upstreamId} evicts ${adapterKey} under ${ids}`,
+      Invariant.NoEvictionInUse,
+      `${upstreamId} evicts ${adapterKey} while it is used by ${ids}`,
     );
   }
 
-  /** Records a part of an answer that reaches the caller. */
+  /** Records a part of an answer that the caller receives. */
   recordPart(call: Call, attemptId: string, index: number): void {
     call.parts.push({ attemptId, index });
     if (call.end !== undefined) {
-      this.fail(FuzzPromise.WholeAnswer, `${call.id} gets more after its end`);
+      this.fail(
+        Invariant.CompleteAnswer,
+        `${call.id} receives a part after its end`,
+      );
     }
     const isNext = call.parts.every((part, position) =>
       part.attemptId === attemptId && part.index === position
     );
     if (!isNext) {
-      this.fail(FuzzPromise.WholeAnswer, `${call.id} gets a mixed answer`);
+      this.fail(
+        Invariant.CompleteAnswer,
+        `${call.id} receives parts out of order or of several attempts`,
+      );
     }
   }
 
   /** Records the final answer of a call. */
   recordEnd(call: Call, end: CallEnd): void {
     if (call.end !== undefined) {
-      this.fail(FuzzPromise.WholeAnswer, `${call.id} is answered twice`);
+      this.fail(Invariant.CompleteAnswer, `${call.id} is answered twice`);
       return;
     }
     call.end = end;
     switch (end.kind) {
       case "completed":
-        if (!call.isCallerGone && call.parts.length !== call.work.parts) {
+        if (!call.isCallerGone && call.parts.length !== call.workItem.parts) {
           this.fail(
-            FuzzPromise.WholeAnswer,
-            `${call.id} is completed with ${call.parts.length} of ${call.work.parts} parts`,
+            Invariant.CompleteAnswer,
+            `${call.id} completes after ${call.parts.length} of ${call.workItem.parts} parts`,
           );
         }
         break;
       case "replayed":
-        if (call.work.completedRuns === 0) {
-          this.fail(FuzzPromise.WholeAnswer, `${call.id} replays no run`);
+        if (call.workItem.completedRuns === 0) {
+          this.fail(
+            Invariant.CompleteAnswer,
+            `${call.id} receives a replayed answer, though no run completed`,
+          );
         }
         break;
       case "refused":
@@ -215,10 +249,13 @@
     }
   }
 
-  /** Checks that a replayed answer is the one of the caller's own work. */
+  /** Checks that a replayed answer belongs to the caller's own work. */
   recordReplayedBody(call: Call, body: string): void {
-    if (body === call.work.id) return;
-    this.fail(FuzzPromise.WholeAnswer, `${call.id} gets the answer of ${body}`);
+    if (body === call.workItem.id) return;
+    this.fail(
+      Invariant.CompleteAnswer,
+      `${call.id} receives the answer of ${body}`,
+    );
   }
 
   recordRevision(
@@ -233,8 +270,8 @@
     this.#trace.add(daemonId, `tables revision ${known} -> ${revision}`);
     if (revision > known) return;
     this.fail(
-      FuzzPromise.Configuration,
-      `${daemonId} goes back from revision ${known} to ${revision}`,
+      Invariant.Configuration,
+      `${daemonId} returns from revision ${known} to the older ${revision}`,
     );
   }
 
@@ -242,20 +279,23 @@
     call: Call,
     end: Extract<CallEnd, { kind: "refused" }>,
   ): void {
-    const { work } = call;
+    const { workItem } = call;
     if (end.outcome === Outcome.NotRun) {
-      const runs = call.ticket === undefined ? call.runs : work.runs;
+      const runs = call.ticket === undefined ? call.runs : workItem.runs;
       if (runs > 0) {
         this.fail(
-          FuzzPromise.NotRunIsTrue,
-          `${call.id} is told notRun (${end.reason}) after ${runs} runs`,
+          Invariant.NotRunAccurate,
+          `${call.id} is refused as notRun (${end.reason}) after ${runs} runs`,
         );
       }
     }
-    const isPunished = end.reason === RefusalReason.Quarantined &&
-      !work.isCrashing && work.chanceDeaths === 0;
-    if (isPunished) {
-      this.fail(FuzzPromise.CrashBound, `${call.id} is quarantined unjustly`);
+    const isUnfounded = end.reason === RefusalReason.Quarantined &&
+      !workItem.isCrashing && workItem.unrelatedCrashes === 0;
+    if (isUnfounded) {
+      this.fail(
+        Invariant.CrashBound,
+        `${call.id} is quarantined without cause`,
+      );
     }
   }
 }
--- a/test/fuzz/random_source.ts
+++ b/test/fuzz/random_source.ts
@@ -1,4 +1,4 @@
-/** Seeded random numbers for the model's delays and choices. */
+/** Seeded random numbers for the delays and choices of the simulation. */
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
@@ -9,17 +9,17 @@
     this.#generator = xoroshiro128plus(seed);
   }
 
-  /** Returns an integer between both bounds, which are included. */
-  getInteger(from: number, to: number): number {
+  /** Returns an integer between the bounds, both inclusive. */
+  drawInteger(from: number, to: number): number {
     return uniformInt(this.#generator, from, to);
   }
 
-  /** Returns true with the given chance in a hundred. */
-  hasChance(percent: number): boolean {
-    return this.getInteger(1, 100) <= percent;
+  /** Returns true with the given probability in percent. */
+  drawBoolean(percent: number): boolean {
+    return this.drawInteger(1, 100) <= percent;
   }
 
-  getBytes(length: number): Uint8Array {
-    return Uint8Array.from({ length }, () => this.getInteger(0, 255));
+  drawBytes(length: number): Uint8Array {
+    return Uint8Array.from({ length }, () => this.drawInteger(0, 255));
   }
 }
--- a/test/fuzz/trace.ts
+++ b/test/fuzz/trace.ts
@@ -1,4 +1,4 @@
-/** One line for each thing that happens in a run: time, who, what. */
+/** Log of a run: a line for each event, with its time, source and text. */
 
 export class Trace {
   readonly #lines: string[] = [];
@@ -8,9 +8,9 @@
     this.#readTime = readTime;
   }
 
-  add(who: string, what: string): void {
+  add(source: string, text: string): void {
     const time = `${(this.#readTime() / 1_000).toFixed(3)}s`.padStart(9);
-    this.#lines.push(`${time}  ${who.padEnd(9)} ${what}`);
+    this.#lines.push(`${time}  ${source.padEnd(9)} ${text}`);
   }
 
   getLines(): readonly string[] {
--- a/test/fuzz/upstream_client.ts
+++ b/test/fuzz/upstream_client.ts
@@ -1,4 +1,7 @@
-/** Carries out a daemon's effects on upstreams as its upstream task does, over the model's network. */
+/**
+ * Simulates the daemon's upstream task: applies dispatches, orders and reads of
+ * the state to the simulated upstreams over the simulated network.
+ */
 import type { DispatchEffect, Effect } from "../../src/core/effects.ts";
 import type { OrderResult } from "../../src/core/events.ts";
 import { type AttemptResult, Outcome } from "../../src/core/outcomes.ts";
@@ -7,29 +10,32 @@
 import type { ModelUpstream } from "./model_upstream.ts";
 import type { World } from "./world.ts";
 
-/** Time after which a connection that was cut is found to be lost. */
-const MAX_LOSS_MS = 900;
+/** Maximum time until the daemon detects a lost connection. */
+const MAX_LOSS_DETECTION_MS = 900;
 const STATE_TIMEOUT_MS = 800;
 const ORDER_TIMEOUT_MS = 5_000;
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Time that a step takes to be carried out by its task. */
+/** Maximum time until the upstream task processes an effect. */
 const MAX_TASK_DELAY_MS = 3;
 
 interface OpenAttempt {
   effect: DispatchEffect;
   call: Call;
   isOpen: boolean;
-  /** Whether part of the answer was lost, so that no more of it arrives. */
+  /** Whether a part of the answer was lost, so that no later part arrives. */
   isBroken: boolean;
   bytesForwarded: number;
-  /** Arrival of the last part; parts of one connection keep their order. */
+  /**
+   * Time at which the last part arrives; later parts must not overtake it on
+   * the same connection.
+   */
   lastArrivalAt: number;
 }
 
 export class UpstreamClient {
   readonly #daemon: DaemonProcess;
   readonly #world: World;
-  /** Holds while the daemon's incarnation lives to which the client belongs. */
+  /** Returns whether the daemon's incarnation that owns the client runs. */
   readonly #isCurrent: () => boolean;
   readonly #attempts = new Map<string, OpenAttempt>();
 
@@ -51,7 +57,7 @@
       lastArrivalAt: 0,
     };
     this.#attempts.set(effect.attemptId, attempt);
-    this.#daemon.runLocal(this.#getTaskDelay(), () => this.#send(attempt));
+    this.#daemon.runLocal(this.#drawTaskDelayMs(), () => this.#send(attempt));
     this.#daemon.runLocal(effect.timeoutMs, () => {
       if (!attempt.isOpen) return;
       this.#cancelOnUpstream(
@@ -66,12 +72,12 @@
     if (!attempt?.isOpen) return;
     this.#cancelOnUpstream(attempt, (isConfirmed) => {
       if (isConfirmed) this.#end(attempt, { kind: "cancelled" });
-      else this.#endLost(attempt, "cancelled, not confirmed");
+      else this.#endLost(attempt, "cancellation not confirmed");
     });
   }
 
   order(effect: Extract<Effect, { kind: "order" }>): void {
-    this.#daemon.runLocal(this.#getTaskDelay(), () => {
+    this.#daemon.runLocal(this.#drawTaskDelayMs(), () => {
       this.#sendOrder(effect, (result) =>
         this.#daemon.handle({
           kind: "orderEnded",
@@ -95,13 +101,13 @@
       });
     };
     this.#daemon.runLocal(STATE_TIMEOUT_MS, () => fail(false));
-    this.#travel(upstreamId, (upstream) => {
+    this.#sendToUpstream(upstreamId, (upstream) => {
       if (!upstream.isUp) {
-        this.#travelBack(upstreamId, () => fail(true));
+        this.#sendToDaemon(upstreamId, () => fail(true));
         return;
       }
       const state = upstream.getState();
-      this.#travelBack(upstreamId, () => {
+      this.#sendToDaemon(upstreamId, () => {
         if (isDone) return;
         isDone = true;
         this.#daemon.handle({
@@ -119,7 +125,10 @@
     const { network, trace } = this.#world;
     if (!attempt.isOpen) return;
     if (this.#daemon.readClock() >= effect.dispatchUntil) {
-      this.#end(attempt, { kind: "notSent", detail: "window closed" });
+      this.#end(attempt, {
+        kind: "notSent",
+        detail: "dispatch window has ended",
+      });
       return;
     }
     trace.add(
@@ -128,24 +137,24 @@
     );
     if (network.isConnectionCut(this.#daemon.id, effect.upstreamId)) {
       this.#daemon.runLocal(
-        this.#world.random.getInteger(0, CONNECT_TIMEOUT_MS),
+        this.#world.random.drawInteger(0, CONNECT_TIMEOUT_MS),
         () => {
           this.#end(attempt, { kind: "notSent", detail: "connect timed out" });
         },
       );
       return;
     }
-    this.#travel(
+    this.#sendToUpstream(
       effect.upstreamId,
       (upstream) => this.#begin(attempt, upstream),
-      () => this.#loseLater(attempt),
+      () => this.#scheduleLoss(attempt),
     );
   }
 
   #begin(attempt: OpenAttempt, upstream: ModelUpstream): void {
     const { effect, call } = attempt;
     if (!upstream.isUp) {
-      this.#travelBack(
+      this.#sendToDaemon(
         upstream.id,
         () => this.#end(attempt, { kind: "notSent", detail: "ECONNREFUSED" }),
       );
@@ -156,10 +165,10 @@
       callId: call.id,
       daemonId: this.#daemon.id,
       model: effect.upstreamKind === "engine" ? effect.model : "",
-      durationMs: call.work.durationMs,
+      durationMs: call.workItem.durationMs,
       timeoutMs: effect.timeoutMs,
-      parts: call.work.parts,
-      isCrashing: call.work.isCrashing,
+      parts: call.workItem.parts,
+      isCrashing: call.workItem.isCrashing,
     }, {
       receiveRefusal: () =>
         this.#answer(
@@ -226,25 +235,28 @@
     this.#end(attempt, { kind: "lost", detail, bytesForwarded });
   }
 
-  #loseLater(attempt: OpenAttempt): void {
+  #scheduleLoss(attempt: OpenAttempt): void {
     this.#daemon.runLocal(
-      this.#world.random.getInteger(0, MAX_LOSS_MS),
+      this.#world.random.drawInteger(0, MAX_LOSS_DETECTION_MS),
       () => this.#endLost(attempt, "connection lost"),
     );
   }
 
-  /** Brings something back on the attempt's connection, in order, unless it is cut. */
+  /**
+   * Delivers a part of the upstream's answer over the attempt's connection in
+   * order, or loses the attempt if the connection is cut.
+   */
   #answer(attempt: OpenAttempt, handle: () => void): void {
     const { queue, network } = this.#world;
-    const travelMs = network.getUpstreamTravelMs();
-    const arrivalAt = Math.max(queue.now + travelMs, attempt.lastArrivalAt);
+    const delayMs = network.drawUpstreamDelayMs();
+    const arrivalAt = Math.max(queue.now + delayMs, attempt.lastArrivalAt);
     attempt.lastArrivalAt = arrivalAt;
     queue.schedule(arrivalAt - queue.now, () => {
       if (!this.#isCurrent() || !attempt.isOpen || attempt.isBroken) return;
       const { upstreamId } = attempt.effect;
       if (network.isConnectionCut(this.#daemon.id, upstreamId)) {
         attempt.isBroken = true;
-        this.#loseLater(attempt);
+        this.#scheduleLoss(attempt);
         return;
       }
       this.#daemon.runLocal(0, () => {
@@ -262,10 +274,14 @@
       finish(false);
       return;
     }
-    this.#travel(upstreamId, (upstream) => {
+    this.#sendToUpstream(upstreamId, (upstream) => {
       const isEnded = upstream.isUp && upstream.cancelRun(attemptId);
-      this.#travelBack(upstreamId, () => finish(isEnded), () => finish(false));
-    }, () => this.#daemon.runLocal(MAX_LOSS_MS, () => finish(false)));
+      this.#sendToDaemon(
+        upstreamId,
+        () => finish(isEnded),
+        () => finish(false),
+      );
+    }, () => this.#daemon.runLocal(MAX_LOSS_DETECTION_MS, () => finish(false)));
   }
 
   #sendOrder(
@@ -280,7 +296,7 @@
       finish(result);
     };
     if (this.#daemon.readClock() >= effect.sendUntil) {
-      reply({ kind: "failed", detail: "order came too late" });
+      reply({ kind: "failed", detail: "order expired before it was sent" });
       return;
     }
     const unknown: OrderResult = { kind: "unknown", detail: "timed out" };
@@ -291,49 +307,49 @@
         "adapterKey" in order ? order.adapterKey : ""
       } on ${upstreamId} with fencing ${fencing}`,
     );
-    this.#travel(upstreamId, (upstream) => {
+    this.#sendToUpstream(upstreamId, (upstream) => {
       if (!upstream.isUp) {
-        this.#travelBack(
+        this.#sendToDaemon(
           upstreamId,
           () => reply({ kind: "failed", detail: "ECONNREFUSED" }),
         );
         return;
       }
-      upstream.carryOut(
+      upstream.applyOrder(
         order,
         fencing,
-        (result) => this.#travelBack(upstreamId, () => reply(result)),
+        (result) => this.#sendToDaemon(upstreamId, () => reply(result)),
       );
     });
   }
 
-  #travel(
+  #sendToUpstream(
     upstreamId: string,
-    arrive: (upstream: ModelUpstream) => void,
-    lose: () => void = () => {},
+    deliver: (upstream: ModelUpstream) => void,
+    onLoss: () => void = () => {},
   ): void {
     const { queue, network } = this.#world;
-    queue.schedule(network.getUpstreamTravelMs(), () => {
-      if (network.isConnectionCut(this.#daemon.id, upstreamId)) lose();
-      else arrive(this.#world.getUpstreamOrThrow(upstreamId));
+    queue.schedule(network.drawUpstreamDelayMs(), () => {
+      if (network.isConnectionCut(this.#daemon.id, upstreamId)) onLoss();
+      else deliver(this.#world.getUpstreamOrThrow(upstreamId));
     });
   }
 
-  #travelBack(
+  #sendToDaemon(
     upstreamId: string,
-    arrive: () => void,
-    lose: () => void = () => {},
+    deliver: () => void,
+    onLoss: () => void = () => {},
   ): void {
     const { queue, network } = this.#world;
-    queue.schedule(network.getUpstreamTravelMs(), () => {
+    queue.schedule(network.drawUpstreamDelayMs(), () => {
       if (!this.#isCurrent()) return;
       const isCut = network.isConnectionCut(this.#daemon.id, upstreamId);
-      this.#daemon.runLocal(0, isCut ? lose : arrive);
+      this.#daemon.runLocal(0, isCut ? onLoss : deliver);
     });
   }
 
-  #getTaskDelay(): number {
-    return this.#world.random.getInteger(0, MAX_TASK_DELAY_MS);
+  #drawTaskDelayMs(): number {
+    return this.#world.random.drawInteger(0, MAX_TASK_DELAY_MS);
   }
 }
 
@@ -344,12 +360,14 @@
   body: Uint8Array;
   bodyKept: boolean;
 } {
-  const isKept = call.work.parts === 1;
+  const isKept = call.workItem.parts === 1;
   return {
     outcome: Outcome.Completed,
     status: 200,
     contentType: "application/json",
-    body: isKept ? new TextEncoder().encode(call.work.id) : new Uint8Array(),
+    body: isKept
+      ? new TextEncoder().encode(call.workItem.id)
+      : new Uint8Array(),
     bodyKept: isKept,
   };
 }
--- a/test/fuzz/wall_clock.ts
+++ b/test/fuzz/wall_clock.ts
@@ -1,14 +1,17 @@
-/** Watches whether code reads a clock, and lets the wall clock jump while it runs. */
+/**
+ * Detects reads of the wall clock or of the process clock, and lets both jump.
+ * The core must use only the time that is passed to it.
+ */
 import { performance } from "node:perf_hooks";
 
 let jumpMs = 0;
 
-/** Moves the wall clock that the watched code would see. */
+/** Shifts the clocks that the observed code reads. */
 export function moveWallClock(spanMs: number): void {
   jumpMs += spanMs;
 }
 
-/** Returns how often the step read the wall clock or the process's own clock. */
+/** Counts the reads of the wall clock and the process clock during a step. */
 export function countWallClockReads(step: () => void): number {
   const dateNow = Date.now;
   const performanceNow = performance.now;
--- a/test/fuzz/world.ts
+++ b/test/fuzz/world.ts
@@ -1,11 +1,14 @@
-/** A whole fleet in one process: daemons, upstreams, platform, network and callers over one queue. */
+/**
+ * Simulation of a whole fleet in one process: daemons, upstreams, platform,
+ * network and callers, all driven by one event queue.
+ */
 import type {
   PeerMessage,
   StoredAnswerStructure,
 } from "../../src/core/messages.ts";
 import { Outcome, RefusalReason } from "../../src/core/outcomes.ts";
 import type { TablesStructure } from "../../src/core/structures.ts";
-import type { Call, CallEnd, Work } from "./calls.ts";
+import type { Call, CallEnd, WorkItem } from "./calls.ts";
 import { DaemonProcess } from "./daemon_process.ts";
 import { EventQueue } from "./event_queue.ts";
 import {
@@ -19,7 +22,7 @@
 } from "./fleet_layout.ts";
 import { ModelNetwork } from "./model_network.ts";
 import { ModelPlatform } from "./model_platform.ts";
-import { CALM_FAULTS, ModelUpstream } from "./model_upstream.ts";
+import { DEFAULT_FAULTS, ModelUpstream } from "./model_upstream.ts";
 import { Oracle } from "./oracle.ts";
 import { RandomSource } from "./random_source.ts";
 import { Trace } from "./trace.ts";
@@ -27,16 +30,17 @@
 export interface WorldOptions {
   seed: number;
   traits: EngineTraits;
-  /** Time between the requests of callers that go on all the time; 0 for none. */
+  /** Interval of the background requests; 0 for none. */
   trafficIntervalMs: number;
   /**
-   * Whether the daemons of a failure domain stay together while its engines
-   * ignore fencing. Where they do not, two owners may go on unseen.
+   * Whether daemons of the same failure domain are never disconnected from each
+   * other if the engines ignore fencing. Otherwise, two daemons can own the
+   * same engine without noticing each other.
    */
-  keepsUnfencedDomainsWhole: boolean;
+  keepsUnfencedDomainsConnected: boolean;
 }
 
-export interface WorkOptions {
+export interface WorkItemOptions {
   routeIndex: number;
   durationMs: number;
   isStream: boolean;
@@ -44,7 +48,7 @@
 }
 
 const STREAM_PARTS = 3;
-const MAX_CALLER_TRAVEL_MS = 5;
+const MAX_CALLER_DELAY_MS = 5;
 const MAX_TRAFFIC_RUN_MS = 3_000;
 
 export class World {
@@ -54,7 +58,7 @@
   readonly oracle = new Oracle(() => this.queue.now, this.trace);
   readonly network: ModelNetwork;
   readonly platform: ModelPlatform;
-  readonly works: Work[] = [];
+  readonly workItems: WorkItem[] = [];
   readonly counts = new Map<string, number>();
   readonly #daemons = new Map<string, DaemonProcess>();
   readonly #upstreams = new Map<string, ModelUpstream>();
@@ -109,10 +113,10 @@
     });
   }
 
-  createWork(options: WorkOptions): Work {
+  createWorkItem(options: WorkItemOptions): WorkItem {
     const route = this.#validTables.routes[options.routeIndex]!;
-    const work: Work = {
-      id: `w${this.works.length + 1}`,
+    const workItem: WorkItem = {
+      id: `w${this.workItems.length + 1}`,
       route: route.name,
       customer: route.customer,
       isIdempotent: route.idempotent,
@@ -122,21 +126,24 @@
       ticket: undefined,
       runs: 0,
       completedRuns: 0,
-      chanceDeaths: 0,
-      kills: [],
+      unrelatedCrashes: 0,
+      causedCrashes: [],
     };
-    this.works.push(work);
-    return work;
+    this.workItems.push(workItem);
+    return workItem;
   }
 
-  /** Calls a daemon to have the work done; a ticket that is asked for is fetched first. */
-  sendCall(work: Work, daemonId: string): Call {
+  /**
+   * Sends a call for the work to a daemon. If the daemon requires a ticket, the
+   * caller sends the work again with the ticket from the refusal.
+   */
+  sendCall(workItem: WorkItem, daemonId: string): Call {
     this.#lastCall += 1;
     const call: Call = {
-      id: `${work.id}.c${this.#lastCall}`,
-      work,
+      id: `${workItem.id}.c${this.#lastCall}`,
+      workItem,
       daemonId,
-      ticket: work.ticket,
+      ticket: workItem.ticket,
       sentAt: this.queue.now,
       pinnedModel: undefined,
       runs: 0,
@@ -148,28 +155,28 @@
     const daemon = this.getDaemonOrThrow(daemonId);
     this.trace.add(
       "caller",
-      `sends ${call.id} (${work.route}) to ${daemonId}${
+      `sends ${call.id} (${workItem.route}) to ${daemonId}${
         call.ticket ? " with ticket" : ""
       }`,
     );
-    const isIncarnation = daemon.createIncarnationCheck();
-    this.queue.schedule(this.#getCallerTravelMs(), () => {
+    const isCurrentIncarnation = daemon.createIncarnationCheck();
+    this.queue.schedule(this.#drawCallerDelayMs(), () => {
       if (call.end !== undefined) return;
-      if (!isIncarnation()) this.endCall(call.id, { kind: "broken" });
+      if (!isCurrentIncarnation()) this.endCall(call.id, { kind: "broken" });
       else daemon.runLocal(0, () => daemon.accept(call));
     });
     return call;
   }
 
-  /** The caller of a call closes its connection. */
-  leaveCall(call: Call): void {
+  /** Closes the connection of the call on the caller's side. */
+  abandonCall(call: Call): void {
     if (call.end !== undefined || call.isCallerGone) return;
     call.isCallerGone = true;
-    this.trace.add("caller", `of ${call.id} goes away`);
+    this.trace.add("caller", `of ${call.id} closes its connection`);
     const daemon = this.getDaemonOrThrow(call.daemonId);
-    const isIncarnation = daemon.createIncarnationCheck();
-    this.queue.schedule(this.#getCallerTravelMs(), () => {
-      if (!isIncarnation()) return;
+    const isCurrentIncarnation = daemon.createIncarnationCheck();
+    this.queue.schedule(this.#drawCallerDelayMs(), () => {
+      if (!isCurrentIncarnation()) return;
       daemon.runLocal(
         0,
         () => daemon.handle({ kind: "callerGone", requestId: call.id }),
@@ -183,13 +190,13 @@
     const detail = end.kind === "refused"
       ? `${end.reason}, ${end.outcome}`
       : end.kind;
-    this.trace.add("caller", `of ${callId} is told: ${detail}`);
+    this.trace.add("caller", `of ${callId} receives: ${detail}`);
     this.oracle.recordEnd(call, end);
     const isTicketGiven = end.kind === "refused" &&
       end.reason === RefusalReason.TicketRequired;
     if (!isTicketGiven || ticket === undefined) return;
-    call.work.ticket ??= ticket;
-    this.sendCall(call.work, call.daemonId);
+    call.workItem.ticket ??= ticket;
+    this.sendCall(call.workItem, call.daemonId);
   }
 
   replayCall(callId: string, answer: StoredAnswerStructure): void {
@@ -199,18 +206,21 @@
     this.oracle.recordReplayedBody(call, new TextDecoder().decode(answer.body));
   }
 
-  /** Breaks the connections of the callers of a daemon that is gone. */
+  /**
+   * Breaks the connections of a daemon that has exited: those of its callers
+   * and those to the upstreams.
+   */
   breakCalls(daemonId: string): void {
     for (const call of this.oracle.getCalls()) {
       if (call.daemonId !== daemonId || call.end !== undefined) continue;
       this.oracle.recordEnd(call, { kind: "broken" });
     }
     for (const upstream of this.#upstreams.values()) {
-      upstream.handleDaemonGone(daemonId);
+      upstream.handleDaemonExit(daemonId);
     }
   }
 
-  edit(routeIndex: number, choice: number, isInvalid: boolean): void {
+  editRoute(routeIndex: number, choice: number, isInvalid: boolean): void {
     const { revision } = this.platform.getTables();
     const tables = editTables(
       { ...this.#validTables, revision },
@@ -234,11 +244,14 @@
     this.platform.setLeaving(upstreamId, isLeaving);
   }
 
-  /** Cuts the ways between nodes, but for those that a run leaves whole. */
+  /**
+   * Blocks messages between nodes, except between daemons that the options keep
+   * connected.
+   */
   addCut(from: readonly string[], to: readonly string[]): void {
-    const { keepsUnfencedDomainsWhole, traits } = this.#options;
+    const { keepsUnfencedDomainsConnected, traits } = this.#options;
     const isKept = (source: string, target: string): boolean =>
-      keepsUnfencedDomainsWhole && !traits.checksFencing &&
+      keepsUnfencedDomainsConnected && !traits.checksFencing &&
       this.#daemons.has(source) && this.#daemons.has(target) &&
       getFailureDomain(source) === getFailureDomain(target);
     for (const source of from) {
@@ -247,17 +260,20 @@
     }
   }
 
-  /** Ends every fault that is set, an invalid revision of the tables included, and the traffic. */
-  heal(): void {
+  /**
+   * Removes all faults, including an invalid revision of the tables, and ends
+   * the background requests.
+   */
+  clearFaults(): void {
     this.#isTrafficOn = false;
     const isInvalid = this.platform.getTables() !== this.#validTables;
-    if (isInvalid) this.edit(0, 0, false);
+    if (isInvalid) this.editRoute(0, 0, false);
     this.network.clearCuts();
     this.network.noisePercent = 0;
     this.platform.mode = "up";
     this.platform.hostLagMs = 100;
     for (const upstream of this.#upstreams.values()) {
-      upstream.faults = { ...CALM_FAULTS };
+      upstream.faults = { ...DEFAULT_FAULTS };
       this.setLeaving(upstream.id, false);
     }
     for (const daemon of this.#daemons.values()) {
@@ -272,10 +288,13 @@
     this.counts.set(name, (this.counts.get(name) ?? 0) + 1);
   }
 
-  /** Lets time pass, in steps at which disturbances that last are noted. */
+  /**
+   * Advances the simulated time in steps of at most 100 ms; ongoing
+   * disturbances are recorded at each step.
+   */
   advance(spanMs: number): void {
     const end = this.queue.now + spanMs;
-    while (this.queue.now < end && this.oracle.breach === undefined) {
+    while (this.queue.now < end && this.oracle.violation === undefined) {
       if (this.#isDisturbed()) this.oracle.recordDisturbance();
       this.queue.advance(Math.min(100, end - this.queue.now));
     }
@@ -284,14 +303,14 @@
   #sendTraffic(intervalMs: number): void {
     if (!this.#isTrafficOn) return;
     const { random } = this;
-    const work = this.createWork({
-      routeIndex: random.getInteger(0, ROUTE_COUNT - 1),
-      durationMs: random.getInteger(5, MAX_TRAFFIC_RUN_MS),
-      isStream: random.hasChance(50),
+    const workItem = this.createWorkItem({
+      routeIndex: random.drawInteger(0, ROUTE_COUNT - 1),
+      durationMs: random.drawInteger(5, MAX_TRAFFIC_RUN_MS),
+      isStream: random.drawBoolean(50),
       isCrashing: false,
     });
-    const index = random.getInteger(0, DAEMON_IDS.length - 1);
-    this.sendCall(work, DAEMON_IDS[index]!);
+    const index = random.drawInteger(0, DAEMON_IDS.length - 1);
+    this.sendCall(workItem, DAEMON_IDS[index]!);
     this.queue.schedule(intervalMs, () => this.#sendTraffic(intervalMs));
   }
 
@@ -300,7 +319,7 @@
       this.getDaemons().some((daemon) => daemon.isPaused || !daemon.isAlive);
   }
 
-  #getCallerTravelMs(): number {
-    return this.random.getInteger(1, MAX_CALLER_TRAVEL_MS);
+  #drawCallerDelayMs(): number {
+    return this.random.drawInteger(1, MAX_CALLER_DELAY_MS);
   }
 }
--- a/test/soak/fault_proxy.ts
+++ b/test/soak/fault_proxy.ts
@@ -1,14 +1,17 @@
-/** A loopback proxy that delays, resets, silences or cuts one way the connections through it. */
+/**
+ * TCP proxy on loopback that injects faults into the connections through it: it
+ * delays or drops data in both directions, drops responses only, or resets.
+ */
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 
 export const ProxyFault = {
   None: "none",
-  /** Every piece is held back. */
+  /** Each chunk is forwarded after a delay. */
   Delay: "delay",
-  /** Nothing passes, in either direction. */
+  /** All data is dropped, in both directions. */
   Silence: "silence",
-  /** Nothing comes back. */
+  /** Data from the target is dropped. */
   CutAnswers: "cutAnswers",
 } as const;
 export type ProxyFault = (typeof ProxyFault)[keyof typeof ProxyFault];
@@ -17,7 +20,7 @@
 
 export class FaultProxy {
   readonly #target: string;
-  readonly #server: Server = createServer((socket) => this.#join(socket));
+  readonly #server: Server = createServer((socket) => this.#accept(socket));
   readonly #pairs = new Set<[Socket, Socket]>();
   #isStopped = false;
   fault: ProxyFault = ProxyFault.None;
@@ -36,7 +39,7 @@
     );
   }
 
-  /** Resets every connection. */
+  /** Resets all connections. */
   resetAll(): void {
     for (const pair of this.#pairs) {
       for (const socket of pair) socket.resetAndDestroy();
@@ -49,38 +52,39 @@
     this.resetAll();
   }
 
-  #join(inner: Socket): void {
-    if (this.#isStopped) return void inner.destroy();
+  #accept(callerSocket: Socket): void {
+    if (this.#isStopped) return void callerSocket.destroy();
     const separator = this.#target.lastIndexOf(":");
-    const outer = connect(
+    const targetSocket = connect(
       Number(this.#target.slice(separator + 1)),
       this.#target.slice(0, separator),
     );
-    const pair: [Socket, Socket] = [inner, outer];
+    const pair: [Socket, Socket] = [callerSocket, targetSocket];
     this.#pairs.add(pair);
-    this.#pass(inner, outer, false);
-    this.#pass(outer, inner, true);
-    // A fault can keep the close of one side from the other: both count.
-    const forget = () => {
-      if (inner.closed && outer.closed) this.#pairs.delete(pair);
+    this.#forward(callerSocket, targetSocket, false);
+    this.#forward(targetSocket, callerSocket, true);
+    // A fault can prevent the close of one socket from reaching the other, so
+    // the pair is removed only when both are closed.
+    const removeClosedPair = () => {
+      if (callerSocket.closed && targetSocket.closed) this.#pairs.delete(pair);
     };
-    inner.once("close", forget);
-    outer.once("close", forget);
+    callerSocket.once("close", removeClosedPair);
+    targetSocket.once("close", removeClosedPair);
   }
 
-  #pass(from: Socket, to: Socket, isAnswer: boolean): void {
-    from.on("data", (piece) => {
+  #forward(from: Socket, to: Socket, isAnswer: boolean): void {
+    from.on("data", (chunk) => {
       switch (this.fault) {
         case ProxyFault.None:
-          to.write(piece);
+          to.write(chunk);
           break;
         case ProxyFault.Delay:
-          setTimeout(() => to.write(piece), DELAY_MS);
+          setTimeout(() => to.write(chunk), DELAY_MS);
           break;
         case ProxyFault.Silence:
           break;
         case ProxyFault.CutAnswers:
-          if (!isAnswer) to.write(piece);
+          if (!isAnswer) to.write(chunk);
           break;
       }
     });
--- a/test/soak/fault_proxy_test.ts
+++ b/test/soak/fault_proxy_test.ts
@@ -1,4 +1,8 @@
-/** The proxy of the soak leaves nothing open when it stops. */
+/**
+ * Guards against connections that stay open after the fault proxy has stopped.
+ * A fault can prevent the close of the caller's connection from reaching the
+ * target; stop() must then close the connection to the target, too.
+ */
 import { connect, createServer, type Socket } from "node:net";
 import type { AddressInfo } from "node:net";
 import { once } from "node:events";
@@ -7,11 +11,11 @@
 import { waitMs } from "../../src/gateway/wait.ts";
 import { FaultProxy, ProxyFault } from "./fault_proxy.ts";
 
-/** Long on loopback, where a close takes well under a millisecond. */
-const CLOSE_MS = 500;
+/** Generous, since a close on loopback takes well under 1 ms. */
+const CLOSE_TIMEOUT_MS = 500;
 
 for (const fault of Object.values(ProxyFault)) {
-  test(`a stop closes the target's side of a caller who left (${fault})`, async () => {
+  test(`stop() closes the connection to the target after the caller closed its own (${fault})`, async () => {
     const accepted: Socket[] = [];
     const target = createServer((socket) => {
       socket.on("error", () => {});
@@ -40,13 +44,13 @@
     if (!socket.closed) {
       await Promise.race([
         new Promise((resolve) => socket.once("close", resolve)),
-        waitMs(CLOSE_MS),
+        waitMs(CLOSE_TIMEOUT_MS),
       ]);
     }
     const isClosed = socket.closed;
     socket.destroy();
     target.close();
-    assert.ok(isClosed, "the target's side is still open");
+    assert.ok(isClosed, "the connection to the target is still open");
   });
 }
 
--- a/test/soak/fleet_restart_test.ts
+++ b/test/soak/fleet_restart_test.ts
@@ -1,4 +1,9 @@
-/** All gateways are killed at once, as by a loss of power: their engines load again before a term is over. */
+/**
+ * Guards against a fleet that loads no adapters for a whole term after all
+ * gateways were killed at once, as in a power failure. New processes that do
+ * not detect that the engines have no owner observe each engine for a whole
+ * term before they claim it.
+ */
 import { Agent } from "node:http";
 import process from "node:process";
 import { test } from "uvu";
@@ -9,7 +14,10 @@
 import { callGateway } from "./soak_run.ts";
 
 const GATEWAYS = 3;
-/** Long against the start of three processes, so that a wait for it shows. */
+/**
+ * Much longer than the start of three processes, so that a wait for a whole
+ * term is noticed.
+ */
 const TERM_MS = 12_000;
 
 test("after a restart of the whole fleet engines load before a term is over", async () => {
@@ -21,7 +29,10 @@
       engine.orders.filter((order) => order.status < 300).length
     );
   let calls = 0;
-  /** Asks for new adapters until enough of the engines have accepted an order. */
+  /**
+   * Sends requests for new adapters until the given number of engines have
+   * accepted an order; returns false if they have not by the deadline.
+   */
   const waitForOrders = async (
     engines: number,
     endsAt: number,
@@ -43,10 +54,11 @@
   };
   await fleet.start(GATEWAYS);
   try {
-    // One without orders would be claimed at once in any case.
+    // An engine that has never accepted an order would be claimed immediately
+    // in any case.
     const all = fleet.engines.length;
-    const startedBy = Date.now() + 3 * TERM_MS;
-    assert.ok(await waitForOrders(all, startedBy), "before the kill");
+    const startDeadline = Date.now() + 3 * TERM_MS;
+    assert.ok(await waitForOrders(all, startDeadline), "before the kill");
     const killedAt = Date.now();
     for (const gateway of fleet.gateways) fleet.signal(gateway, "SIGKILL");
     assert.ok(await waitForOrders(1, killedAt + TERM_MS), "after the kill");
--- a/test/soak/soak_fleet.ts
+++ b/test/soak/soak_fleet.ts
@@ -1,4 +1,7 @@
-/** Gateways as separate processes on loopback, with stand-ins behind proxies that fail. */
+/**
+ * A fleet of gateways that run as separate processes on loopback. Fault proxies
+ * connect them to fake replicas and to a fake platform store.
+ */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -13,7 +16,7 @@
 import { chooseProgram } from "../../scripts/program_choice.ts";
 import { FaultProxy } from "./fault_proxy.ts";
 
-/** Short, so that holders change often within a run. */
+/** Short, so that the owners of engines change often during a run. */
 export const SOAK_TERM_MS = 1_000;
 const ENGINES = 3;
 const SERVICES = 2;
@@ -25,8 +28,8 @@
   settingsFile: string;
   storeProxy: FaultProxy;
   child: ChildProcess;
-  /** Counts the processes that ran as this gateway. */
-  life: number;
+  /** Number of processes that have been started for this gateway. */
+  incarnation: number;
 }
 
 export class SoakFleet {
@@ -74,7 +77,10 @@
     );
   }
 
-  /** Publishes the next version, in which only one numbered route exists. */
+  /**
+   * Publishes the next version of the configuration. Its only numbered route is
+   * that of the version, so that an answer tells which version was in force.
+   */
   publish(): void {
     this.version += 1;
     this.store.put(
@@ -89,7 +95,7 @@
     );
   }
 
-  /** Sends a signal to a gateway's process, which comes back if it ends. */
+  /** Sends a signal to a gateway's process, which is restarted if it exits. */
   signal(gateway: SoakGateway, signal: NodeJS.Signals): void {
     gateway.child.kill(signal);
   }
@@ -111,7 +117,7 @@
     rmSync(this.#folder, { recursive: true, force: true });
   }
 
-  /** Ends the processes that this run started, paused ones too. */
+  /** Kills the processes that this fleet started, including paused ones. */
   #killAll(): void {
     this.#isStopped = true;
     for (const { child } of this.gateways) {
@@ -151,7 +157,7 @@
       settingsFile,
       storeProxy,
       child: this.#spawn(program, settingsFile),
-      life: 1,
+      incarnation: 1,
     };
     this.gateways.push(gateway);
     this.#restartOnExit(gateway);
@@ -160,7 +166,7 @@
   #restartOnExit(gateway: SoakGateway): void {
     gateway.child.once("exit", () => {
       if (this.#isStopped) return;
-      gateway.life += 1;
+      gateway.incarnation += 1;
       gateway.child = this.#spawn(gateway.program, gateway.settingsFile);
       this.#restartOnExit(gateway);
     });
--- a/test/soak/soak_main.ts
+++ b/test/soak/soak_main.ts
@@ -1,9 +1,14 @@
-/** `npm run soak -- --seed N --runs K --seconds S`: randomized faults from outside against real processes. */
+/**
+ * `npm run soak -- --seed N --runs K --seconds S`: injects random faults into
+ * gateways that run as separate processes, and checks the invariants.
+ */
 import process from "node:process";
 import sade from "sade";
 import { runSoak } from "./soak_run.ts";
 
-/** Below the ports that the kernel gives out, apart from those of the tests. */
+/**
+ * Below the kernel's ephemeral ports and distinct from the ports of the tests.
+ */
 const DEFAULT_PORT = 31_000;
 
 interface SoakOptions {
@@ -13,33 +18,33 @@
   port: number;
 }
 
-// A run that is broken off ends its processes, too.
+// Exits through process.exit, whose `exit` event kills the fleet's processes.
 process.once("SIGTERM", () => process.exit(1));
 process.once("SIGINT", () => process.exit(1));
 
 sade("soak", true)
-  .describe("Checks the gateway's promises under drawn faults.")
+  .describe("Checks the invariants of the gateway under random faults.")
   .option("--seed", "First seed", 1)
-  .option("--runs", "Seeds to run, one after the other", 1)
-  .option("--seconds", "Time of faults in a run", 20)
+  .option("--runs", "Number of consecutive seeds to run", 1)
+  .option("--seconds", "Duration of fault injection in each run", 20)
   .option(
     "--port",
-    "First of four ports, for runs beside each other",
+    "First of four ports; differs between concurrent runs",
     DEFAULT_PORT,
   )
   .action(async (options: SoakOptions) => {
-    let breached = 0;
+    let failedRuns = 0;
     for (let run = 0; run < options.runs; run += 1) {
       const seed = options.seed + run;
       const port = options.port + (run % 10) * 10;
       const report = await runSoak(seed, options.seconds * 1_000, port);
       console.log(
-        `seed ${seed}: ${report.calls} calls, ${report.served} served, ${report.breaches.length} breaches`,
+        `seed ${seed}: ${report.calls} calls, ${report.served} served, ${report.violations.length} violations`,
       );
-      if (report.breaches.length === 0) continue;
-      breached += 1;
-      console.log([...report.breaches, ...report.trace].join("\n"));
+      if (report.violations.length === 0) continue;
+      failedRuns += 1;
+      console.log([...report.violations, ...report.trace].join("\n"));
     }
-    process.exit(breached === 0 ? 0 : 1);
+    process.exit(failedRuns === 0 ? 0 : 1);
   })
   .parse(process.argv);
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -1,7 +1,7 @@
 /**
- * One run of the soak: faults drawn from a seed in series and overlapping, callers
- * that go on meanwhile, and checks of the promises from what callers and
- * replicas see.
+ * A soak test run: injects faults that are drawn from a seed and may overlap,
+ * while callers send requests, and checks the invariants from what the callers
+ * and the replicas receive.
  */
 import { Buffer } from "node:buffer";
 import { Agent, request } from "node:http";
@@ -18,12 +18,15 @@
 
 const GATEWAYS = 3;
 const CALLERS = 6;
-/** Time for processes to start and engines to be claimed. */
-const SETTLE_MS = 5_000;
-/** Time after the last fault for late runs to show. */
+/** Time for the processes to start and to claim the engines. */
+const STARTUP_MS = 5_000;
+/** Time after the last fault in which delayed runs may still appear. */
 const DRAIN_MS = 4_000;
-/** Part of the calls that must be answered 200 for a run to prove anything. */
-const LEAST_SERVED = 0.2;
+/**
+ * Minimum fraction of the calls that must be answered with status 200; a run
+ * with fewer proves nothing.
+ */
+const MIN_SERVED_RATIO = 0.2;
 const SLOTS = 2;
 const SERVICE_ANSWER = "the whole answer of the service";
 const BEHAVIOURS: ReplicaBehaviour[] = [
@@ -41,7 +44,7 @@
 ];
 
 export interface SoakReport {
-  breaches: string[];
+  violations: string[];
   trace: string[];
   calls: number;
   served: number;
@@ -59,10 +62,10 @@
   port: number,
 ): Promise<SoakReport> {
   const fleet = new SoakFleet(port);
-  const report: SoakReport = { breaches: [], trace: [], calls: 0, served: 0 };
+  const report: SoakReport = { violations: [], trace: [], calls: 0, served: 0 };
   await fleet.start(GATEWAYS);
   try {
-    await waitMs(SETTLE_MS);
+    await waitMs(STARTUP_MS);
     const endsAt = Date.now() + faultMs;
     await Promise.all([
       injectFaults(fleet, seed, endsAt, report),
@@ -74,8 +77,10 @@
     await waitMs(DRAIN_MS);
     checkRuns(fleet, report);
     checkOrders(fleet, report);
-    if (report.served < LEAST_SERVED * report.calls) {
-      report.breaches.push(`only ${report.served} of ${report.calls} served`);
+    if (report.served < MIN_SERVED_RATIO * report.calls) {
+      report.violations.push(
+        `only ${report.served} of ${report.calls} calls were served`,
+      );
     }
   } finally {
     await fleet.stop();
@@ -91,13 +96,13 @@
 ): Promise<void> {
   const generator = xoroshiro128plus(seed);
   const draw = (from: number, to: number) => uniformInt(generator, from, to);
-  const pick = <T>(values: readonly T[]): T =>
+  const drawFrom = <T>(values: readonly T[]): T =>
     values[draw(0, values.length - 1)] as T;
   const startedAt = Date.now();
   while (Date.now() < endsAt) {
-    const gateway = pick(fleet.gateways);
-    const replica = pick([...fleet.engines, ...fleet.services]);
-    const proxy = pick([...fleet.proxies.values(), gateway.storeProxy]);
+    const gateway = drawFrom(fleet.gateways);
+    const replica = drawFrom([...fleet.engines, ...fleet.services]);
+    const proxy = drawFrom([...fleet.proxies.values(), gateway.storeProxy]);
     const fault = draw(0, 10);
     const spanMs = draw(200, 3_000);
     report.trace.push(
@@ -123,7 +128,7 @@
         proxy.resetAll();
         break;
       case 5:
-        proxy.fault = pick(Object.values(ProxyFault));
+        proxy.fault = drawFrom(Object.values(ProxyFault));
         setTimeout(() => proxy.fault = ProxyFault.None, spanMs);
         break;
       case 6:
@@ -134,10 +139,12 @@
         fleet.register(replica, "ready");
         break;
       case 8:
-        replica.behaviours = [pick(BEHAVIOURS), pick(BEHAVIOURS)];
+        replica.behaviours = [drawFrom(BEHAVIOURS), drawFrom(BEHAVIOURS)];
         break;
       case 9:
-        fleet.store.fault = pick(["busy", "silent", "historyGone"] as const);
+        fleet.store.fault = drawFrom(
+          ["busy", "silent", "historyGone"] as const,
+        );
         setTimeout(() => fleet.store.fault = "none", spanMs);
         break;
       case 10:
@@ -149,8 +156,9 @@
   }
 }
 
-/** Answers of requests that must not have run, to be checked at the end. */
+/** Ids of requests that were refused and therefore must not have run. */
 const refusedIds = new Set<string>();
+/** Ids of requests that must not run more than once. */
 const unsafeIds = new Set<string>();
 
 async function runCaller(
@@ -167,7 +175,7 @@
   for (let call = 0; Date.now() < endsAt; call += 1) {
     const gateway = fleet.gateways[draw(0, fleet.gateways.length - 1)];
     if (!gateway) continue;
-    const lived = `${gateway.ip} ${gateway.life}`;
+    const incarnationKey = `${gateway.ip} ${gateway.incarnation}`;
     const version = Math.max(2, fleet.version - draw(0, 2));
     const path =
       ["/safe/", "/unsafe/", "/brief/", "/resume/", `/only-${version}/`][
@@ -186,12 +194,20 @@
     );
     if (path === "/unsafe/" || path === "/brief/") unsafeIds.add(id);
     if (answer) checkAnswer(report, path, id, answer);
-    const isSameLife = lived === `${gateway.ip} ${gateway.life}`;
-    if (answer?.status === 200 && path.startsWith("/only-") && isSameLife) {
-      if (version < (newestSeen.get(lived) ?? 0)) {
-        report.breaches.push(`${id}: version ${version} after a newer one`);
+    const isSameIncarnation =
+      incarnationKey === `${gateway.ip} ${gateway.incarnation}`;
+    if (
+      answer?.status === 200 && path.startsWith("/only-") && isSameIncarnation
+    ) {
+      if (version < (newestSeen.get(incarnationKey) ?? 0)) {
+        report.violations.push(
+          `${id}: served by version ${version} after a newer one`,
+        );
       }
-      newestSeen.set(lived, Math.max(version, newestSeen.get(lived) ?? 0));
+      newestSeen.set(
+        incarnationKey,
+        Math.max(version, newestSeen.get(incarnationKey) ?? 0),
+      );
     }
     await waitMs(draw(5, 60));
   }
@@ -215,7 +231,7 @@
     ).join("")
     : SERVICE_ANSWER;
   if (answer.body !== expected) {
-    report.breaches.push(`${id} ${path}: wrong answer ${answer.body}`);
+    report.violations.push(`${id} ${path}: wrong answer ${answer.body}`);
   }
 }
 
@@ -228,10 +244,10 @@
   }
   for (const [id, count] of runs) {
     if (count > 1 && unsafeIds.has(id)) {
-      report.breaches.push(`${id}: ran ${count} times`);
+      report.violations.push(`${id}: ran ${count} times`);
     }
     if (refusedIds.has(id) && unsafeIds.has(id)) {
-      report.breaches.push(`${id}: ran, though it was refused`);
+      report.violations.push(`${id}: ran although it was refused`);
     }
   }
 }
@@ -244,16 +260,21 @@
       const { holder, fence, at } = order;
       oracle.check({ daemon: holder, fence, at });
     }
-    report.breaches.push(
-      ...oracle.violations.map((breach) => `${engine.id}: ${breach}`),
+    report.violations.push(
+      ...oracle.violations.map((violation) => `${engine.id}: ${violation}`),
     );
     if (engine.adapters.size > SLOTS) {
-      report.breaches.push(`${engine.id}: ${engine.adapters.size} adapters`);
+      report.violations.push(
+        `${engine.id}: ${engine.adapters.size} adapters are resident`,
+      );
     }
   }
 }
 
-/** Returns undefined when no connection came about or nothing was answered. */
+/**
+ * Sends a request to a gateway; returns undefined if the connection fails or no
+ * answer starts.
+ */
 export function callGateway(
   agent: Agent,
   address: string,
@@ -277,13 +298,13 @@
         "X-Token-Counts": "400,20",
       },
     }, (response) => {
-      const pieces: Buffer[] = [];
-      response.on("data", (piece: Buffer) => pieces.push(piece));
+      const chunks: Buffer[] = [];
+      response.on("data", (chunk: Buffer) => chunks.push(chunk));
       response.on("error", () => {});
       response.on("close", () =>
         resolve({
           status: response.statusCode ?? 0,
-          body: Buffer.concat(pieces).toString(),
+          body: Buffer.concat(chunks).toString(),
           isComplete: response.complete,
         }));
     });
--- a/test/soak/soak_test.ts
+++ b/test/soak/soak_test.ts
@@ -1,4 +1,7 @@
-/** A short seeded soak of real processes, and every seed that ever failed. */
+/**
+ * Short soak test with fixed seeds, including each seed that has failed before,
+ * against gateways that run as separate processes.
+ */
 import process from "node:process";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
@@ -7,7 +10,7 @@
 
 const FAULT_MS = 8_000;
 
-/** Seeds, with what each once showed. */
+/** Seeds, each with the fault that it revealed. */
 const SEEDS: [seed: number, cause: string][] = [
   [1, "none yet"],
   [2, "none yet"],
@@ -19,7 +22,7 @@
     const ports = await reservePorts(process.pid);
     const report = await runSoak(seed, FAULT_MS, ports.port);
     ports.release();
-    assert.equal(report.breaches, [], report.trace.join("\n"));
+    assert.equal(report.violations, [], report.trace.join("\n"));
   });
 }
 
