--- a/fakes/endless_answer.ts
+++ b/fakes/endless_answer.ts
@@ -1,8 +1,11 @@
-/** Answers of a replica in trouble that never end: bytes are sent until the connection closes. */
+/**
+ * Answers that never end, as a faulty replica may send them: bytes are written
+ * until the connection closes.
+ */
 import { Buffer } from "node:buffer";
 import type { Socket } from "node:net";
 
-/** Where in an answer the bytes come without end. */
+/** Part of the HTTP answer that is sent without end. */
 export type EndlessPart =
   | "endlessStatusLine"
   | "endlessHeader"
@@ -17,47 +20,58 @@
   | "endlessEvent"
   | "endlessEvents";
 
-export interface EndlessBytes {
+/** What was sent of an endless answer, for the assertions of tests. */
+export interface EndlessAnswerRecord {
   part: EndlessPart;
   sentBytes: number;
-  /** How long the connection was kept open, in milliseconds; undefined while it still is. */
+  /**
+   * Milliseconds from the first byte to the close of the connection; undefined
+   * while it is open.
+   */
   openMs: number | undefined;
 }
 
-/** Size of one write: large enough for a fast flood, small enough for back-pressure to show. */
+/**
+ * Size of one write: large enough for a high rate, small enough for
+ * back-pressure to take effect.
+ */
 const WRITE_BYTES = 64 * 1024;
 
-/** Starts an endless answer; the returned record is kept up to date. */
+/**
+ * Starts an endless answer; the returned record is updated while it is sent.
+ */
 export function sendEndlessAnswer(
   socket: Socket,
   part: EndlessPart,
-  proof: Record<string, string>,
-): EndlessBytes {
-  const record: EndlessBytes = { part, sentBytes: 0, openMs: undefined };
+  identityHeaders: Record<string, string>,
+): EndlessAnswerRecord {
+  const record: EndlessAnswerRecord = { part, sentBytes: 0, openMs: undefined };
   const startedAt = performance.now();
   socket.on("error", () => {});
   socket.once("close", () => record.openMs = performance.now() - startedAt);
-  socket.write(buildBeginning(part, proof));
-  const unit = buildUnit(part);
-  const piece = Buffer.from(
-    unit.repeat(Math.ceil(WRITE_BYTES / Buffer.byteLength(unit))),
+  socket.write(buildPrefix(part, identityHeaders));
+  const repeatedPart = buildRepeatedPart(part);
+  const chunk = Buffer.from(
+    repeatedPart.repeat(
+      Math.ceil(WRITE_BYTES / Buffer.byteLength(repeatedPart)),
+    ),
   );
-  const sendOn = (): void => {
+  const sendNextChunk = (): void => {
     if (socket.destroyed) return;
-    record.sentBytes += piece.length;
-    const canTakeMore = socket.write(piece);
-    if (canTakeMore) setImmediate(sendOn);
-    else socket.once("drain", sendOn);
+    record.sentBytes += chunk.length;
+    const isBelowHighWaterMark = socket.write(chunk);
+    if (isBelowHighWaterMark) setImmediate(sendNextChunk);
+    else socket.once("drain", sendNextChunk);
   };
-  sendOn();
+  sendNextChunk();
   return record;
 }
 
-function buildBeginning(
+function buildPrefix(
   part: EndlessPart,
-  proof: Record<string, string>,
+  identityHeaders: Record<string, string>,
 ): string {
-  const headers = Object.entries(proof)
+  const headers = Object.entries(identityHeaders)
     .map(([name, value]) => `${name}: ${value}\r\n`).join("");
   const head = `HTTP/1.1 200 OK\r\n${headers}`;
   switch (part) {
@@ -87,7 +101,7 @@
   }
 }
 
-function buildUnit(part: EndlessPart): string {
+function buildRepeatedPart(part: EndlessPart): string {
   switch (part) {
     case "endlessHeaders":
     case "endlessTrailers":
--- a/fakes/engine_main.ts
+++ b/fakes/engine_main.ts
@@ -1,20 +1,24 @@
 #!/usr/bin/env node
-/** Program that stands in for a model engine. */
+/** Command-line program that runs the fake model engine. */
 import process from "node:process";
 import sade from "sade";
 import { FakeEngine } from "./fake_engine.ts";
 import { runFake } from "./fake_server.ts";
 
 sade("fake_engine", true)
-  .describe("Stands in for a model engine on a loopback port.")
-  .option("--port", "Port; 0 for a free one", 0)
-  .option("--slots", "Adapter slots", 4)
-  .option("--batch-size", "Requests run at once", 8)
-  .option("--fencing", "checked or ignored", "checked")
+  .describe("Runs a fake model engine on a loopback port.")
+  .option("--port", "Port to listen on; 0 selects a free port", 0)
+  .option("--slots", "Number of adapter slots", 4)
+  .option("--batch-size", "Maximum number of concurrent requests", 8)
+  .option(
+    "--fencing",
+    "Whether fencing numbers are checked or ignored",
+    "checked",
+  )
   .option("--store", "Address of the weight store", "")
-  .option("--load-time-ms", "Time of a load without a store", 250)
-  .option("--token-interval-ms", "Time between tokens", 20)
-  .option("--tokens", "Tokens of an answer", 20)
+  .option("--load-time-ms", "Duration of a load when no store is set", 250)
+  .option("--token-interval-ms", "Interval between tokens", 20)
+  .option("--tokens", "Number of tokens per answer", 20)
   .action(async (options: {
     port: number;
     slots: number;
--- a/fakes/engine_options.ts
+++ b/fakes/engine_options.ts
@@ -1,11 +1,11 @@
-/** Options of the stand-in engine, and the table of its faults. */
+/** Options of the fake engine, and the faults that tests can inject into it. */
 import type { RunFault } from "./run_fault.ts";
 
 export interface FakeEngineOptions {
   slots: number;
   batchSize: number;
   checksFencing: boolean;
-  /** Address of the weight store; loads take `loadTimeMs` without one. */
+  /** Address of the weight store; without one, each load takes `loadTimeMs`. */
   storeAddress?: string;
   loadTimeMs: number;
   tokenIntervalMs: number;
@@ -13,28 +13,37 @@
 }
 
 export interface EngineFaults {
-  /** Loads that fail from now on. */
+  /** Number of upcoming loads that fail. */
   failLoads: number;
-  /** Streams and answers that are cut after this many tokens; 0 for none. */
+  /**
+   * Number of tokens after which each answer is aborted, streamed or not; 0 for
+   * never.
+   */
   cutAfterTokens: number;
-  /** Answers that name another model from now on. */
+  /** Number of upcoming answers that name another model in their header. */
   crossAnswers: number;
-  /** Text in a body that crashes the engine. */
+  /** Text that crashes the engine when a request body contains it. */
   crashMarker: string;
-  /** Time after which a crashed engine listens again. */
+  /** Delay after a crash until the engine listens again. */
   restartAfterMs: number;
-  /** Lag of the in-flight counts. */
+  /** Delay of the reported in-flight counts; this fake does not apply it. */
   reportLagMs: number;
   leaving: boolean;
-  /** Runs refused before they start, from now on. */
+  /** Number of upcoming runs that are refused before they start. */
   refuseRuns: number;
-  /** Whether states are answered. */
+  /** Whether the connection is closed instead of answering `GET /state`. */
   isStateHidden: boolean;
-  /** Faults of the next runs, one each. */
+  /** Faults of the upcoming runs, one per run. */
   nextRuns: RunFault[];
-  /** Numbers of tokens after which the connection of a stream is cut while its run goes on. */
+  /**
+   * Numbers of tokens after which the connection of a stream is closed while
+   * its run continues.
+   */
   dropConnectionsAfter: number[];
-  /** Time for which a run goes on, or its stream is kept, without a reader. */
+  /**
+   * Time without a reader for which a run continues, or for which a completed
+   * stream stays resumable.
+   */
   resumeWindowMs: number;
 }
 
--- a/fakes/fake_configuration.ts
+++ b/fakes/fake_configuration.ts
@@ -1,14 +1,20 @@
-/** Stands in for the configuration service: keys at one growing revision, read and watch only for daemons. */
+/**
+ * Fake configuration service: all keys share one increasing revision. Daemons
+ * read and watch; only tests and operators write.
+ */
 import type { Response } from "express";
 import { FakeServer } from "./fake_server.ts";
 
 export interface ConfigurationFaults {
   down: boolean;
-  /** Revision at which readers are held back; 0 for none. */
+  /** Newest revision that readers are given; 0 for no limit. */
   staleAtRevision: number;
-  /** Reads of keys, from now on, that answer at a revision of their own. */
+  /**
+   * Number of upcoming reads of single keys that answer with a revision one too
+   * high.
+   */
   tornReads: number;
-  /** Whether answers are no JSON. */
+  /** Whether answers are HTML instead of JSON. */
   isGarbled: boolean;
 }
 
@@ -25,54 +31,64 @@
   constructor() {
     super({ down: false, staleAtRevision: 0, tornReads: 0, isGarbled: false });
     this.app.get("/v1/keys", (_request, response) => {
-      if (!this.#admit(response)) return;
+      if (!this.#admitCall(response)) return;
       this.#sendKeys(response);
     });
     this.app.get("/v1/keys/:key", (request, response) => {
-      if (!this.#admit(response)) return;
-      const { revision, values } = this.#getVisible();
+      if (!this.#admitCall(response)) return;
+      const { revision, values } = this.#getVisibleRevision();
       const value = values.get(String(request.params["key"]));
       if (value === undefined) response.status(404).json({ revision });
-      else response.json({ revision: revision + this.#takeTear(), value });
+      else response.json({ revision: revision + this.#takeSkew(), value });
     });
     this.app.get("/v1/watch", (request, response) => {
-      if (!this.#admit(response)) return;
+      if (!this.#admitCall(response)) return;
       const after = Number(request.query["after"]);
       const waitMs = Number(request.query["waitMs"] ?? 0);
       this.#watch(response, after, waitMs);
     });
     this.app.put("/operator/keys/:key", (request, response) => {
       this.setKey(String(request.params["key"]), String(request.body.value));
-      response.json({ revision: this.#getLatest().revision });
+      response.json({ revision: this.#getLatestRevision().revision });
     });
   }
 
-  /** Edits a table, as operators do. */
+  /**
+   * Writes a key at a new revision, as operators do, and answers the waiting
+   * watches.
+   */
   setKey(key: string, value: string): void {
-    const latest = this.#getLatest();
+    const latest = this.#getLatestRevision();
     const values = new Map(latest.values).set(key, value);
     this.#revisions.push({ revision: latest.revision + 1, values });
-    for (const wake of [...this.#watchers]) wake();
+    for (const notify of [...this.#watchers]) notify();
   }
 
-  /** Ends the watches that wait, as an outage does. */
+  /**
+   * Starts or ends an outage; its start closes all connections, also those of
+   * waiting watches.
+   */
   setDown(down: boolean): void {
     this.faults.down = down;
     if (down) this.dropConnections();
   }
 
-  #getLatest(): Revision {
+  #getLatestRevision(): Revision {
     return this.#revisions[this.#revisions.length - 1] as Revision;
   }
 
-  #getVisible(): Revision {
+  #getVisibleRevision(): Revision {
     const limit = this.faults.staleAtRevision;
-    if (limit === 0) return this.#getLatest();
+    if (limit === 0) return this.#getLatestRevision();
     return this.#revisions.findLast((entry) => entry.revision <= limit) ??
-      this.#getLatest();
+      this.#getLatestRevision();
   }
 
-  #admit(response: Response): boolean {
+  /**
+   * Returns true if no fault applies; otherwise answers with the fault and
+   * returns false.
+   */
+  #admitCall(response: Response): boolean {
     this.calls += 1;
     if (this.faults.isGarbled) {
       response.send("<html>");
@@ -83,20 +99,23 @@
     return false;
   }
 
-  /** Returns by how much the next read of a key is off. */
-  #takeTear(): number {
+  /**
+   * Returns what is added to the revision of this read, and uses up one torn
+   * read.
+   */
+  #takeSkew(): number {
     if (this.faults.tornReads === 0) return 0;
     this.faults.tornReads -= 1;
     return 1;
   }
 
   #sendKeys(response: Response): void {
-    const { revision, values } = this.#getVisible();
+    const { revision, values } = this.#getVisibleRevision();
     response.json({ revision, keys: [...values.keys()] });
   }
 
   #watch(response: Response, after: number, waitMs: number): void {
-    if (this.#getVisible().revision > after) {
+    if (this.#getVisibleRevision().revision > after) {
       this.#sendKeys(response);
       return;
     }
--- a/fakes/fake_engine.ts
+++ b/fakes/fake_engine.ts
@@ -1,4 +1,7 @@
-/** Stands in for a model engine: batching, adapter slots, loads from the weight store, fencing and faults. */
+/**
+ * Fake model engine with batching, adapter slots, loads from the weight store,
+ * fencing and injected faults.
+ */
 import { randomUUID } from "node:crypto";
 import type { Request, Response } from "express";
 import { FakeServer, waitMs } from "./fake_server.ts";
@@ -22,21 +25,24 @@
 
 export class FakeEngine extends FakeServer<EngineFaults> {
   readonly options: FakeEngineOptions;
-  /** Every run since the fake was made. */
+  /** All runs since this fake was created, across crashes. */
   readonly history: RunRecord[] = [];
-  /** Evictions of adapters on which runs were going on. */
+  /** Number of evictions of adapters that had running requests. */
   evictionsInUse = 0;
-  /** Connections cut while their runs went on. */
+  /** Number of connections closed by the fault while their runs continued. */
   droppedConnections = 0;
-  /** Highest fencing number accepted, which tests may raise. */
+  /** Highest fencing number accepted; tests may raise it. */
   fencing = 0;
   #incarnation = randomUUID().slice(0, 8);
-  /** Added to each token, for tests of slow readers. */
+  /**
+   * Appended to each token, so that tests of slow readers can fill the socket
+   * buffers.
+   */
   tokenPadding = "";
   readonly #residents = new Set<string>();
   readonly #loading = new Set<string>();
   readonly #runs = new Map<string, Run>();
-  /** Streams of runs that have ended, kept for a while. */
+  /** Completed streamed runs, resumable for `resumeWindowMs`. */
   readonly #endedRuns = new Map<string, Run>();
 
   constructor(options: FakeEngineOptions) {
@@ -79,7 +85,10 @@
     return [...this.#residents];
   }
 
-  /** Crashes: all runs end, all adapters are gone; listens again after the set time. */
+  /**
+   * Crashes: ends all runs, loses all adapters and the fencing number, and
+   * listens again under a new incarnation after `restartAfterMs`.
+   */
   async crash(): Promise<void> {
     for (const record of this.history) {
       if (record.ended === "running") record.ended = "crashed";
@@ -225,10 +234,10 @@
     await this.#generate(request, response, { run, record, fault });
     if (this.#runs.get(id) !== run) return;
     this.#runs.delete(id);
-    if (record.ended === "completed" && run.log) this.#remember(run);
+    if (record.ended === "completed" && run.log) this.#recordEndedRun(run);
   }
 
-  #remember(run: Run): void {
+  #recordEndedRun(run: Run): void {
     this.#endedRuns.set(run.id, run);
     setTimeout(
       () => this.#endedRuns.delete(run.id),
@@ -240,10 +249,12 @@
     const id = String(request.params["id"]);
     const run = this.#runs.get(id) ?? this.#endedRuns.get(id);
     const after = Number(request.query["after"]);
-    const isKept = run?.log !== undefined && run.identity !== undefined &&
+    const isResumable = run?.log !== undefined && run.identity !== undefined &&
       !run.isCancelled && after <= run.log.eventCount;
-    if (!isKept) {
-      response.status(404).json({ error: `run ${id} is not here` });
+    if (!isResumable) {
+      response.status(404).json({
+        error: `run ${id} is unknown or cannot be resumed`,
+      });
       return;
     }
     this.#sendStreamHead(response, run.identity as AnswerIdentity);
@@ -292,27 +303,28 @@
     run.log = log;
     run.identity = identity;
     log?.attach(response, 0);
-    const drops = [...this.faults.dropConnectionsAfter];
-    const cutAfter = this.faults.cutAfterTokens;
+    const dropAfterTokens = [...this.faults.dropConnectionsAfter];
+    const cutAfterTokens = this.faults.cutAfterTokens;
     const timeoutMs = Number(request.get("x-timeout-ms") ?? Infinity);
-    const endsAt = performance.now() + timeoutMs;
+    const deadlineAt = performance.now() + timeoutMs;
     const { tokens, tokenIntervalMs } = this.options;
     const padding = this.tokenPadding;
     let text = "";
     for (let token = 0; token < tokens; token += 1) {
       await waitMs(tokenIntervalMs);
       if (record.ended === "crashed") return;
-      const isOver = run.isCancelled || performance.now() >= endsAt;
+      const isCancelledOrLate = run.isCancelled ||
+        performance.now() >= deadlineAt;
       const isAbandoned = log
         ? log.isAbandoned(this.faults.resumeWindowMs)
         : response.destroyed;
-      if (isOver || isAbandoned) {
+      if (isCancelledOrLate || isAbandoned) {
         record.ended = "cancelled";
         log?.cutConnection();
         response.destroy();
         return;
       }
-      if (cutAfter > 0 && token >= cutAfter) {
+      if (cutAfterTokens > 0 && token >= cutAfterTokens) {
         record.ended = "cut";
         log?.cutConnection();
         response.destroy();
@@ -327,7 +339,7 @@
           choices: [{ index: 0, delta: { content } }],
         };
         const text = `data: ${JSON.stringify(event)}\n\n`;
-        const isDropped = drops.includes(token) &&
+        const isDropped = dropAfterTokens.includes(token) &&
           log.cutConnection(text.slice(0, 20));
         if (isDropped) this.droppedConnections += 1;
         log.add(text);
--- a/fakes/fake_host_list.ts
+++ b/fakes/fake_host_list.ts
@@ -1,13 +1,13 @@
-/** Stands in for the platform's host list, which lags. */
+/** Fake of the platform's host list, with a settable publication delay. */
 import type { HostStructure } from "../src/core/structures.ts";
 import { FakeServer } from "./fake_server.ts";
 
 export interface HostListFaults {
   down: boolean;
   lagMs: number;
-  /** Revision that is answered in place of the true one; 0 for none. */
+  /** Revision that is answered instead of the current one; 0 for none. */
   answeredRevision: number;
-  /** Whether answers are no JSON. */
+  /** Whether answers are HTML instead of JSON. */
   isGarbled: boolean;
 }
 
@@ -36,7 +36,7 @@
     return this.#hosts;
   }
 
-  /** Publishes the hosts after the set lag. */
+  /** Publishes the hosts at the next revision, after `lagMs`. */
   setHosts(hosts: HostStructure[]): void {
     const publish = (): void => {
       this.#revision += 1;
--- a/fakes/fake_platform_replica.ts
+++ b/fakes/fake_platform_replica.ts
@@ -1,4 +1,7 @@
-/** Stand-in for a replica of the platform: runs requests, takes orders, and misbehaves as told. */
+/**
+ * Fake replica of the platform: runs requests, applies load and eviction
+ * orders, and shows the faults that tests select.
+ */
 import { Buffer } from "node:buffer";
 import {
   createServer,
@@ -8,13 +11,13 @@
 } from "node:http";
 import type { AddressInfo } from "node:net";
 import {
-  type EndlessBytes,
+  type EndlessAnswerRecord,
   type EndlessPart,
   sendEndlessAnswer,
 } from "./endless_answer.ts";
 import { Header, ORDER_PATH, REPORT_PATH } from "../platform/wire_names.ts";
 
-/** What the replica does with the next request. */
+/** How the replica handles one request. */
 export type ReplicaBehaviour =
   | "answer"
   | "fail"
@@ -32,17 +35,19 @@
   | "slow"
   | EndlessPart;
 
+/** A request that the replica did not refuse, for the assertions of tests. */
 export interface SeenRequest {
   id: string;
   method: string;
   url: string;
   headers: IncomingMessage["headers"];
   body: string;
-  /** Whether its connection closed before the answer was whole. */
+  /** Whether the connection closed before the answer was complete. */
   wasCut: boolean;
 }
 
-export interface SeenOrder {
+/** A load or eviction order with the status that answered it. */
+export interface ReceivedOrder {
   op: string;
   adapter?: string;
   version?: number;
@@ -50,37 +55,43 @@
   fence: number;
   expected: number;
   status: number;
-  /** Unix time of its arrival. */
+  /** Unix time of arrival in milliseconds. */
   at: number;
 }
 
-/** Events of a stream; each names its number. */
+/** Number of events in a stream; each event has its number as id. */
 export const STREAM_EVENTS = 4;
-const LOAD_MS = 30;
-const SLOW_MS = 700;
+const LOAD_TIME_MS = 30;
+const SLOW_ANSWER_DELAY_MS = 700;
 
 export class FakePlatformReplica {
   readonly id: string;
   readonly isEngine: boolean;
   readonly seen: SeenRequest[] = [];
-  readonly orders: SeenOrder[] = [];
+  readonly orders: ReceivedOrder[] = [];
   readonly adapters = new Map<string, { version: number; readyAt: number }>();
   models = ["m"];
   failureDomain = "zone-a";
-  /** Reports that were read. */
+  /** Number of times the report was read. */
   reportsRead = 0;
   sequence = 0;
   born = 1_000;
   newestVersion = 1;
-  /** Whether every answer says that the replica is about to leave. */
+  /**
+   * Whether every answer announces, in the header `Server-Leaving`, that the
+   * replica will leave.
+   */
   isLeaving = false;
-  /** Seconds named with each refusal as full; none where undefined. */
+  /**
+   * `Retry-After` in seconds of refusals by `shed`; undefined for no such
+   * header.
+   */
   retryAfterS: number | undefined;
-  /** Requests that it has refused as full. */
+  /** Number of requests refused by `shed`. */
   refused = 0;
-  /** Answers without end, as they were sent. */
-  readonly endless: EndlessBytes[] = [];
-  /** Behaviours of the next requests; answers when there are none left. */
+  /** Records of the endless answers sent. */
+  readonly endless: EndlessAnswerRecord[] = [];
+  /** Behaviours of the upcoming requests, one per request; then `answer`. */
   behaviours: ReplicaBehaviour[] = [];
   readonly #server: Server = createServer((request, response) =>
     this.#handle(request, response)
@@ -101,7 +112,10 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Starts again, empty, under its id. */
+  /**
+   * Simulates a restart under the same id: no models or adapters, sequence 0, a
+   * later birth time.
+   */
   restart(): void {
     this.adapters.clear();
     this.models = [];
@@ -109,7 +123,10 @@
     this.born += 1;
   }
 
-  /** Describes itself as it registers, at its own address or that of a proxy. */
+  /**
+   * Returns the record under which the replica registers in the store, at its
+   * own address or that of a proxy.
+   */
   describe(
     service: string,
     state = "ready",
@@ -172,17 +189,18 @@
 
   #order(body: string, response: ServerResponse): void {
     const order = JSON.parse(body);
-    const status = this.#carryOut(order);
+    const status = this.#applyOrder(order);
     this.orders.push({ ...order, status, at: Date.now() });
     response.writeHead(status).end();
   }
 
-  #carryOut(order: SeenOrder): number {
-    const held = this.adapters.get(order.adapter ?? "");
-    const isComing = order.op === "load" && held !== undefined &&
-      held.readyAt > Date.now();
-    // A load under way is confirmed whatever is expected, as the platform does.
-    if (isComing) return 202;
+  #applyOrder(order: ReceivedOrder): number {
+    const entry = this.adapters.get(order.adapter ?? "");
+    const isLoading = order.op === "load" && entry !== undefined &&
+      entry.readyAt > Date.now();
+    // Like the platform, confirms a load in progress whatever sequence is
+    // expected.
+    if (isLoading) return 202;
     if (order.expected !== this.sequence) return 409;
     this.sequence += 1;
     if (order.adapter === undefined) {
@@ -195,7 +213,7 @@
     }
     this.adapters.set(order.adapter, {
       version: order.version ?? this.newestVersion,
-      readyAt: Date.now() + LOAD_MS,
+      readyAt: Date.now() + LOAD_TIME_MS,
     });
     return 202;
   }
@@ -208,7 +226,8 @@
     const { headers } = request;
     const id = String(headers[Header.RequestId] ?? "");
     if (
-      headers[Header.ExpectInstance] !== this.id || !this.#isHolding(headers)
+      headers[Header.ExpectInstance] !== this.id ||
+      !this.#hasRequestedAdapter(headers)
     ) {
       response.writeHead(421).end();
       return;
@@ -232,28 +251,34 @@
     };
     this.seen.push(seen);
     response.once("close", () => seen.wasCut = !response.writableFinished);
-    const proof = { "X-Request-Id": id, "X-Response-Stamp": `by-${this.id}` };
+    const identity = {
+      "X-Request-Id": id,
+      "X-Response-Stamp": `by-${this.id}`,
+    };
     if (isEndless(behaviour)) {
       if (!response.socket) return;
-      this.endless.push(sendEndlessAnswer(response.socket, behaviour, proof));
+      this.endless.push(
+        sendEndlessAnswer(response.socket, behaviour, identity),
+      );
       return;
     }
-    if (this.isEngine) this.#serveStream(behaviour, proof, headers, response);
-    else answer(behaviour, proof, response);
+    if (this.isEngine) this.#sendEvents(behaviour, identity, headers, response);
+    else sendServiceAnswer(behaviour, identity, response);
   }
 
-  #isHolding(headers: IncomingMessage["headers"]): boolean {
+  #hasRequestedAdapter(headers: IncomingMessage["headers"]): boolean {
     const [, adapter] = String(headers[Header.Model] ?? "").split("/");
     if (!this.isEngine || adapter === undefined) return true;
-    const held = this.adapters.get(adapter);
+    const entry = this.adapters.get(adapter);
     const expected = headers[Header.ExpectVersion];
-    return held !== undefined && held.readyAt <= Date.now() &&
-      (expected === undefined || Number(expected) === held.version);
+    return entry !== undefined &&
+      entry.readyAt <= Date.now() &&
+      (expected === undefined || Number(expected) === entry.version);
   }
 
-  #serveStream(
+  #sendEvents(
     behaviour: Exclude<ReplicaBehaviour, EndlessPart>,
-    proof: Record<string, string>,
+    identity: Record<string, string>,
     headers: IncomingMessage["headers"],
     response: ServerResponse,
   ): void {
@@ -262,23 +287,26 @@
       response.socket?.resetAndDestroy();
       return;
     }
-    response.writeHead(200, { ...proof, "Content-Type": "text/event-stream" });
-    let next = Number(headers["last-event-id"] ?? 0) + 1;
+    response.writeHead(200, {
+      ...identity,
+      "Content-Type": "text/event-stream",
+    });
+    let nextEvent = Number(headers["last-event-id"] ?? 0) + 1;
     const timer = setInterval(() => {
-      if (behaviour === "breakStream" && next === 3) {
+      if (behaviour === "breakStream" && nextEvent === 3) {
         clearInterval(timer);
-        response.write(`id: ${next}\nda`, () => {
+        response.write(`id: ${nextEvent}\nda`, () => {
           response.socket?.resetAndDestroy();
         });
         return;
       }
-      response.write(`id: ${next}\ndata: piece ${next}\n\n`);
-      next += 1;
-      if (next > STREAM_EVENTS) {
+      response.write(`id: ${nextEvent}\ndata: piece ${nextEvent}\n\n`);
+      nextEvent += 1;
+      if (nextEvent > STREAM_EVENTS) {
         clearInterval(timer);
         response.end();
       }
-    }, behaviour === "slow" ? SLOW_MS : 10);
+    }, behaviour === "slow" ? SLOW_ANSWER_DELAY_MS : 10);
     response.once("close", () => clearInterval(timer));
   }
 }
@@ -287,28 +315,28 @@
   return behaviour.startsWith("endless");
 }
 
-/** Answers as a plain service. */
-function answer(
+/** Sends the answer of a plain service, with the selected fault. */
+function sendServiceAnswer(
   behaviour: Exclude<ReplicaBehaviour, EndlessPart>,
-  proof: Record<string, string>,
+  identity: Record<string, string>,
   response: ServerResponse,
 ): void {
   const text = "the whole answer of the service";
   const socket = response.socket;
   switch (behaviour) {
     case "fail":
-      response.writeHead(500, proof).end("failed");
+      response.writeHead(500, identity).end("failed");
       break;
     case "reset":
       socket?.resetAndDestroy();
       break;
     case "truncate":
-      response.writeHead(200, { ...proof, "Content-Length": 100 });
+      response.writeHead(200, { ...identity, "Content-Length": 100 });
       response.write(text, () => socket?.destroy());
       break;
     case "unframed":
     case "unframedReset": {
-      const head = Object.entries({ ...proof, Connection: "close" })
+      const head = Object.entries({ ...identity, Connection: "close" })
         .map(([name, value]) => `${name}: ${value}\r\n`).join("");
       const part = behaviour === "unframed" ? text : text.slice(0, 9);
       socket?.write(`HTTP/1.1 200 OK\r\n${head}\r\n${part}`, () => {
@@ -324,25 +352,34 @@
       );
       break;
     case "wrongId":
-      response.writeHead(200, { ...proof, "X-Request-Id": "other" }).end(text);
+      response.writeHead(200, { ...identity, "X-Request-Id": "other" })
+        .end(text);
       break;
     case "noProof":
-      response.writeHead(200, { "X-Request-Id": proof["X-Request-Id"] })
+      response.writeHead(200, {
+        "X-Request-Id": identity["X-Request-Id"],
+      })
         .end(text);
       break;
     case "encoded":
-      response.writeHead(200, { ...proof, "Content-Encoding": "gzip" })
+      response.writeHead(200, {
+        ...identity,
+        "Content-Encoding": "gzip",
+      })
         .end(text);
       break;
     case "slow":
-      setTimeout(() => response.writeHead(200, proof).end(text), SLOW_MS);
+      setTimeout(
+        () => response.writeHead(200, identity).end(text),
+        SLOW_ANSWER_DELAY_MS,
+      );
       break;
     case "hang":
       break;
     case "shed":
     case "breakStream":
     case "answer":
-      response.writeHead(200, proof).end(text);
+      response.writeHead(200, identity).end(text);
       break;
   }
 }
--- a/fakes/fake_platform_store.ts
+++ b/fakes/fake_platform_store.ts
@@ -1,4 +1,7 @@
-/** Stand-in for the platform's store: prefixes that can be read and watched, with faults. */
+/**
+ * Fake of the platform's key-value store: range reads and watches by prefix,
+ * with faults.
+ */
 import { Buffer } from "node:buffer";
 import {
   createServer,
@@ -9,7 +12,10 @@
 import type { AddressInfo } from "node:net";
 import { RANGE_PATH, WATCH_PATH } from "../platform/wire_names.ts";
 
-/** What the store does instead of answering. */
+/**
+ * Fault of the store: `busy` answers 503, `silent` never answers, `historyGone`
+ * answers 410 to each watch.
+ */
 export type StoreFault = "none" | "busy" | "silent" | "historyGone";
 
 interface StoredItem {
@@ -45,7 +51,7 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Writes a value as JSON, or bytes as they are. */
+  /** Writes a value: strings unchanged, everything else as JSON. */
   put(key: string, value: unknown): void {
     const text = typeof value === "string" ? value : JSON.stringify(value);
     this.#revision += 1;
--- a/fakes/fake_server.ts
+++ b/fakes/fake_server.ts
@@ -1,4 +1,7 @@
-/** Shared base of the fakes: an express app on a loopback port with a table of faults that can be set over HTTP. */
+/**
+ * Base class of the fakes: an express app on a loopback port whose faults can be
+ * set with `PUT /faults`.
+ */
 import type { Server } from "node:http";
 import type { Socket } from "node:net";
 import process from "node:process";
@@ -35,7 +38,7 @@
     this.#server = server;
   }
 
-  /** Closes the port and every connection at once, as a crash does. */
+  /** Closes the port and all connections immediately, as a crash would. */
   async stop(): Promise<void> {
     const server = this.#server;
     this.#server = undefined;
@@ -55,7 +58,10 @@
   }
 }
 
-/** Starts a fake as a program: prints its address and runs until it is signalled. */
+/**
+ * Runs a fake as a program: prints its address as JSON and exits on SIGTERM or
+ * SIGINT.
+ */
 export async function runFake<Faults extends object>(
   fake: FakeServer<Faults>,
   port: number,
--- a/fakes/fake_service.ts
+++ b/fakes/fake_service.ts
@@ -1,21 +1,24 @@
-/** Stands in for a plain service, which records each call that it runs. */
+/** Fake plain service that records each call it runs. */
 import { randomUUID } from "node:crypto";
 import { FakeServer, waitMs } from "./fake_server.ts";
 import { createAnswerIdentity, type RunFault } from "./run_fault.ts";
 
 export interface ServiceFaults {
-  /** Calls cut after they ran, from now on. */
+  /**
+   * Number of upcoming calls whose connection is closed after they ran, without
+   * an answer.
+   */
   cutAnswers: number;
-  /** Calls refused before they start, from now on. */
+  /** Number of upcoming calls that are refused before they start. */
   refuseRuns: number;
   runTimeMs: number;
   leaving: boolean;
-  /** Faults of the next calls, one each. */
+  /** Faults of the upcoming calls, one per call. */
   nextRuns: RunFault[];
 }
 
 export class FakeService extends FakeServer<ServiceFaults> {
-  /** Bodies of the calls that ran. */
+  /** JSON bodies of the calls that ran. */
   readonly ran: string[] = [];
   #incarnation = randomUUID().slice(0, 8);
   #running = 0;
--- a/fakes/fake_store.ts
+++ b/fakes/fake_store.ts
@@ -1,14 +1,20 @@
-/** Stands in for the weight store: rate-limited, slower beyond a bound of loads in flight. */
+/**
+ * Fake weight store: rate-limited, and slower above a number of concurrent
+ * loads.
+ */
 import { FakeServer, waitMs } from "./fake_server.ts";
 
 export interface StoreFaults {
-  /** Loads that fail from now on. */
+  /** Number of upcoming loads that fail. */
   failLoads: number;
 }
 
 export interface FakeStoreOptions {
   loadsPerSecond: number;
   loadTimeMs: number;
+  /**
+   * Number of concurrent loads above which each load slows down in proportion.
+   */
   maxInFlight: number;
 }
 
--- a/fakes/host_list_main.ts
+++ b/fakes/host_list_main.ts
@@ -1,13 +1,13 @@
 #!/usr/bin/env node
-/** Program that stands in for the host list. */
+/** Command-line program that runs the fake host list. */
 import process from "node:process";
 import sade from "sade";
 import { FakeHostList } from "./fake_host_list.ts";
 import { runFake } from "./fake_server.ts";
 
 sade("fake_host_list", true)
-  .describe("Stands in for the host list on a loopback port.")
-  .option("--port", "Port; 0 for a free one", 0)
+  .describe("Runs a fake host list on a loopback port.")
+  .option("--port", "Port to listen on; 0 selects a free port", 0)
   .action(async (options: { port: number }) => {
     await runFake(new FakeHostList(), options.port);
   })
--- a/fakes/platform_configuration.ts
+++ b/fakes/platform_configuration.ts
@@ -1,6 +1,11 @@
-/** The operator's configuration as the platform's store publishes it, for stand-ins. */
+/**
+ * The operator's configuration as the platform's store publishes it, for fakes.
+ */
 
-/** Builds the value of the configuration's entry: routes as given, two services, wide limits. */
+/**
+ * Builds the configuration's value: the given routes, two services, and limits
+ * that tests don't reach.
+ */
 export function buildPlatformConfiguration(
   version: number,
   routes: object[],
@@ -31,12 +36,12 @@
   };
 }
 
-/** Builds a route of the configuration; parts replace the defaults. */
+/** Builds a route of the configuration; overrides replace default fields. */
 export function buildPlatformRoute(
   name: string,
   kind: string,
   service: string,
-  parts: object = {},
+  overrides: object = {},
 ): object {
   return {
     name,
@@ -49,6 +54,6 @@
     service,
     attempts: 2,
     resumable: false,
-    ...parts,
+    ...overrides,
   };
 }
--- a/fakes/run_fault.ts
+++ b/fakes/run_fault.ts
@@ -1,22 +1,29 @@
-/** Faults of single runs and calls, with which tests break what an upstream promises. */
+/**
+ * Faults of single runs and calls, by which an upstream violates its contract.
+ */
 
-/** What goes wrong with one run. */
+/** Fault of one run. */
 export type RunFault =
-  /** Answered with this status before the run starts. */
+  /** The request is answered with this status and never runs. */
   | { kind: "answerStatus"; status: number }
   | { kind: "wrongHeaderModel" }
   | { kind: "wrongBodyModel" }
   | { kind: "wrongRequestId" }
-  /** The run goes on and nothing is answered until it is cancelled. */
+  /**
+   * The run answers nothing until it is cancelled or its connection is closed.
+   */
   | { kind: "stall" }
   | { kind: "cutBeforeHead" }
   | { kind: "cutAfterHead" }
-  /** Cut within an event, or within the body of a whole answer. */
+  /**
+   * The connection is closed within an event, or within the body of an answer
+   * that is not streamed.
+   */
   | { kind: "cutMidAnswer" }
-  /** Ended properly, but without the end mark of a stream. */
+  /** The stream is ended without its end mark `[DONE]`. */
   | { kind: "omitEndMark" };
 
-/** What an answer says of itself. */
+/** Model and request id that an answer names. */
 export interface AnswerIdentity {
   headerModel: string;
   bodyModel: string;
@@ -26,7 +33,10 @@
 const WRONG_MODEL = "other@0";
 const WRONG_REQUEST_ID = "other-request";
 
-/** Returns what the answer of a run says of itself under a fault. */
+/**
+ * Returns the model and request id that the answer of a run names under a
+ * fault.
+ */
 export function createAnswerIdentity(
   run: { id: string; model: string },
   fault: RunFault | undefined,
--- a/fakes/store_main.ts
+++ b/fakes/store_main.ts
@@ -1,16 +1,20 @@
 #!/usr/bin/env node
-/** Program that stands in for the weight store. */
+/** Command-line program that runs the fake weight store. */
 import process from "node:process";
 import sade from "sade";
 import { FakeStore } from "./fake_store.ts";
 import { runFake } from "./fake_server.ts";
 
 sade("fake_store", true)
-  .describe("Stands in for the weight store on a loopback port.")
-  .option("--port", "Port; 0 for a free one", 0)
-  .option("--loads-per-second", "Rate of loads", 4)
-  .option("--load-time-ms", "Time of one load", 250)
-  .option("--max-in-flight", "Loads in flight without slowdown", 8)
+  .describe("Runs a fake weight store on a loopback port.")
+  .option("--port", "Port to listen on; 0 selects a free port", 0)
+  .option("--loads-per-second", "Maximum rate of loads", 4)
+  .option("--load-time-ms", "Duration of one load", 250)
+  .option(
+    "--max-in-flight",
+    "Number of concurrent loads above which loads slow down",
+    8,
+  )
   .action(async (options: {
     port: number;
     "loads-per-second": number;
--- a/fakes/stream_log.ts
+++ b/fakes/stream_log.ts
@@ -1,13 +1,16 @@
-/** The events of one streamed run, kept so that another connection can take up where the last one was cut. */
+/**
+ * Events of one streamed run, kept so that another connection can resume the
+ * stream.
+ */
 import type { Response } from "express";
 
 export class StreamLog {
   readonly #events: string[] = [];
   #response: Response | undefined;
   #detachedAt: number | undefined;
-  #isEnded = false;
+  #isComplete = false;
 
-  /** Whether nobody has read the stream for the given time. */
+  /** Returns whether the stream has had no reader for the given time. */
   isAbandoned(afterMs: number): boolean {
     return this.#detachedAt !== undefined &&
       performance.now() - this.#detachedAt >= afterMs;
@@ -17,7 +20,10 @@
     return this.#events.length;
   }
 
-  /** Sends the events after the given number, and those that come, to this answer alone. */
+  /**
+   * Sends the events after the given number, and all later ones, to this
+   * response, and closes the previous one.
+   */
   attach(response: Response, after: number): void {
     this.#response?.destroy();
     this.#response = response;
@@ -28,7 +34,7 @@
       this.#detachedAt = performance.now();
     });
     for (const event of this.#events.slice(after)) response.write(event);
-    if (this.#isEnded) response.end();
+    if (this.#isComplete) response.end();
   }
 
   add(event: string): void {
@@ -37,11 +43,14 @@
   }
 
   end(): void {
-    this.#isEnded = true;
+    this.#isComplete = true;
     this.#response?.end();
   }
 
-  /** Cuts the connection, in the midst of an event if some bytes of one are given; returns whether there was one. */
+  /**
+   * Closes the connection, after the bytes of a partial event if given. Returns
+   * false if there was no connection.
+   */
   cutConnection(partialEvent = ""): boolean {
     const response = this.#response;
     if (!response) return false;
