--- a/scripts/caller.ts
+++ b/scripts/caller.ts
@@ -1,39 +1,45 @@
-/** A caller of the daemons, for the demo and the process tests. */
+/**
+ * HTTP client of the daemons, for the demo, the process tests and the load
+ * tool.
+ */
 
-/** What a caller got back. */
+/** Answer to a call, read to the end of its connection. */
 export interface CallerAnswer {
   status: number;
   headers: Headers;
   text: string;
-  /** Whether the body came to its proper end. */
+  /** Whether the body is complete; a stream must also contain its end mark. */
   isWhole: boolean;
-  /** Reason and outcome of a refusal; undefined for answers. */
+  /**
+   * Error in the answer, also at the end of a broken stream; undefined if there
+   * is none.
+   */
   refusal: { reason: string; outcome: string; ticket?: string } | undefined;
 }
 
 export interface Call {
-  /** Callers' address of a daemon. */
+  /** Address on which a daemon listens for callers. */
   address: string;
   token: string;
   path?: string;
   body: unknown;
   ticket?: string;
   signal?: AbortSignal;
-  /** Called with the text so far at each chunk of the answer. */
+  /** Called at each chunk with all text received so far. */
   onText?: (text: string) => void;
 }
 
 /** A call whose answer is being read. */
 export interface RunningCall {
   answer: Promise<CallerAnswer>;
-  /** Returns the text that has come so far. */
+  /** Returns all text received so far. */
   getText(): string;
 }
 
-/** Status of an answer that never began, because the connection ended first. */
+/** Status of an answer whose connection failed before the head was received. */
 export const NO_ANSWER_STATUS = 0;
 
-/** Sends one request and reads the answer to its end. */
+/** Sends one request and reads the answer to the end. */
 export async function sendCall(call: Call): Promise<CallerAnswer> {
   const response = await fetch(
     `http://${call.address}${call.path ?? "/v1/chat/completions"}`,
@@ -62,7 +68,10 @@
   };
 }
 
-/** Calls a non-idempotent route: gets a ticket first, then runs under it. */
+/**
+ * Calls a non-idempotent route: a first request gets the ticket, a second one
+ * runs under it.
+ */
 export async function sendTicketedCall(call: Call): Promise<CallerAnswer> {
   const first = await sendCall(call);
   const ticket = first.refusal?.ticket;
@@ -70,7 +79,10 @@
   return await sendCall({ ...call, ticket });
 }
 
-/** Sends one request in the background; a connection that ends is an answer that is not whole. */
+/**
+ * Sends one request in the background; a failed connection gives an incomplete
+ * answer instead of an error.
+ */
 export function startCall(call: Call): RunningCall {
   let text = "";
   const onText = (received: string): void => {
@@ -86,7 +98,10 @@
   return { answer, getText: () => text };
 }
 
-/** Returns the tokens of an answer of the fake engine, as `adapter@version#number`. */
+/**
+ * Returns the tokens in an answer of the fake engine, each as
+ * `adapter@version#number`.
+ */
 export function readTokens(text: string): string[] {
   return text.match(/[\w-]+@[\w.-]+#\d+/g) ?? [];
 }
--- a/scripts/check_generated.ts
+++ b/scripts/check_generated.ts
@@ -1,4 +1,7 @@
-/** Checks that the committed code of the protocol is what the generator writes. */
+/**
+ * Checks that the committed protocol code is identical to what the generator
+ * writes.
+ */
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, readFileSync, rmSync } from "node:fs";
 import { tmpdir } from "node:os";
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,4 +1,7 @@
-/** The demo: a whole fleet as separate processes, one line a step; exits non-zero when an answer is wrong. */
+/**
+ * The demo: runs daemons and fakes as separate processes and prints one line per
+ * step; exits with a non-zero code when a step has an unexpected result.
+ */
 import process from "node:process";
 import { type CallerAnswer, sendCall, sendTicketedCall } from "./caller.ts";
 import {
@@ -30,9 +33,9 @@
 console.log(failures === 0 ? "Demo passed" : `Demo failed: ${failures} faults`);
 process.exit(failures === 0 ? 0 : 1);
 
-function report(step: string, isRight: boolean, seen: string): void {
-  if (!isRight) failures += 1;
-  console.log(`${isRight ? "ok  " : "FAIL"} ${step}: ${seen}`);
+function report(step: string, isExpected: boolean, observed: string): void {
+  if (!isExpected) failures += 1;
+  console.log(`${isExpected ? "ok  " : "FAIL"} ${step}: ${observed}`);
 }
 
 async function runDemo(): Promise<void> {
@@ -115,10 +118,10 @@
       messages: [{ role: "user", content: "Brief me for today's route" }],
     },
   });
-  const isRight = answer.status === 200 && answer.isWhole &&
+  const isExpected = answer.status === 200 && answer.isWhole &&
     answer.headers.get("x-adapter-version") === version &&
     answer.text.includes(`derwent-briefing@${version}#19`);
-  report(step, isRight, `${daemon} answered ${describeAnswer(answer)}`);
+  report(step, isExpected, `${daemon} answered ${describeAnswer(answer)}`);
   return answer;
 }
 
@@ -128,9 +131,9 @@
     token: DEMO_TOKENS.solljus,
     body: { model: "letters", stream: true, messages: [] },
   });
-  const isRight = answer.isWhole &&
+  const isExpected = answer.isWhole &&
     answer.text.includes("solljus-letters@v1#19");
-  report("streamed request of solljus", isRight, describeAnswer(answer));
+  report("streamed request of solljus", isExpected, describeAnswer(answer));
 }
 
 async function callOtherCustomersRoute(): Promise<void> {
@@ -162,18 +165,20 @@
     first.refusal?.reason === "ticketRequired",
     `${describeAnswer(first)}, ticket given`,
   );
-  const [here, there] = await Promise.all(
+  const [firstAnswer, secondAnswer] = await Promise.all(
     ["entry-a2", "entry-b1"].map((id) =>
       sendCall({ ...call, address: fleet.getDaemon(id).callers, ticket })
     ),
   );
-  const completed = [here, there].filter((answer) => answer?.status === 200);
+  const completed = [firstAnswer, secondAnswer].filter((answer) =>
+    answer?.status === 200
+  );
   report(
     "the same ticket through two daemons at once",
     completed.length >= 1 && (await countOrders()) === 1,
-    `ran ${await countOrders()} time, ${here && describeAnswer(here)} and ${
-      there && describeAnswer(there)
-    }`,
+    `ran ${await countOrders()} time, ${
+      firstAnswer && describeAnswer(firstAnswer)
+    } and ${secondAnswer && describeAnswer(secondAnswer)}`,
   );
   const again = await sendCall({
     ...call,
--- a/scripts/demo_tables.ts
+++ b/scripts/demo_tables.ts
@@ -1,4 +1,7 @@
-/** Tables and tokens of the demo: two customers, engines and a plain service in two failure domains. */
+/**
+ * Tables and tokens of the demo: two customers, engines and a plain service in
+ * two failure domains.
+ */
 import { createHash } from "node:crypto";
 import { stringify } from "yaml";
 import type { HostStructure } from "../src/core/structures.ts";
@@ -32,7 +35,10 @@
   });
 }
 
-/** Returns the routes table with the given version behind Derwent's briefing route. */
+/**
+ * Returns the routes table, with the given adapter version for Derwent's
+ * briefing route.
+ */
 export function formatRoutes(briefingVersion: string): string {
   return stringify({
     customers: Object.entries(DEMO_TOKENS).map(([name, token]) => ({
--- a/scripts/explain_hang.ts
+++ b/scripts/explain_hang.ts
@@ -1,12 +1,16 @@
 /**
- * Loaded before each test file: when the runner ends a file that does not end by
- * itself, prints what kept its process alive.
+ * Preloaded before each test file: when the test runner sends SIGTERM to a file
+ * that exceeded its time limit, prints the resources that keep its process
+ * alive.
  */
 import { Socket } from "node:net";
 import process from "node:process";
 
 process.on("SIGTERM", () => {
-  console.error("did not end:", process.getActiveResourcesInfo().join(", "));
+  console.error(
+    "Process did not exit; active resources:",
+    process.getActiveResourcesInfo().join(", "),
+  );
   for (const handle of listActiveHandles()) {
     const name = (handle as object).constructor.name;
     console.error(name, handle instanceof Socket ? describe(handle) : "");
@@ -14,7 +18,10 @@
   process.exit(1);
 });
 
-/** Node.js names the handles themselves only in a call that its types leave out. */
+/**
+ * Node.js lists the handles only through an undocumented method, which its
+ * types omit.
+ */
 function listActiveHandles(): unknown[] {
   const { _getActiveHandles: list } = process as unknown as {
     _getActiveHandles?: () => unknown[];
--- a/scripts/fleet.ts
+++ b/scripts/fleet.ts
@@ -1,4 +1,7 @@
-/** Starts daemons and fakes as separate processes on free loopback ports, for the demo and the process tests. */
+/**
+ * Starts daemons and fakes as separate processes on loopback, for the demo, the
+ * process tests and benchmarks.
+ */
 import { type ChildProcess, spawn } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -12,13 +15,13 @@
 
 const ROOT = new URL("..", import.meta.url).pathname;
 const START_TIMEOUT_MS = 15_000;
-/** Second byte of the first loopback network that fleets use. */
-const FIRST_OWN_NETWORK = 64;
+/** Second byte of the lowest loopback address that fleets use. */
+const FIRST_LOOPBACK_NETWORK = 64;
 const FIRST_PORT = 10_001;
-const OWN_ADDRESS = computeOwnAddress();
+const FLEET_ADDRESS = computeFleetAddress();
 let nextPort = FIRST_PORT;
 
-/** A process of the fleet. */
+/** A process of the fleet, with the lines it has printed. */
 export interface FleetProcess {
   id: string;
   child: ChildProcess;
@@ -33,7 +36,7 @@
   operators: string;
 }
 
-/** A stand-in of the fleet, with its address. */
+/** A fake of the fleet, with its address. */
 export interface FleetFake extends FleetProcess {
   address: string;
 }
@@ -42,7 +45,10 @@
   /** Merged into the settings of every daemon. */
   settings?: Record<string, unknown>;
   core?: Record<string, number>;
-  /** Program of the daemons, for comparisons of versions. */
+  /**
+   * Entry file of the daemons, to compare versions; `chooseProgram` selects the
+   * default.
+   */
   daemonMain?: string;
 }
 
@@ -63,7 +69,10 @@
     process.on("exit", () => this.#killAll());
   }
 
-  /** Starts a stand-in, for example `engine`, and waits for its address. */
+  /**
+   * Starts a fake as a process, for example `engine`, and waits until it prints
+   * its address.
+   */
   async startFake(
     program: string,
     id: string,
@@ -72,29 +81,32 @@
     return await this.startProgram(id, [`fakes/${program}_main.ts`, ...flags]);
   }
 
-  /** Adds a stand-in that runs in this process. */
+  /** Adds a fake that runs in this process. */
   addFake(id: string, address: string): void {
     const child = undefined as unknown as ChildProcess;
     this.fakes.set(id, { id, address, child, lines: [] });
   }
 
-  /** Chooses the ports of a daemon, so that its peers can be told of it before it starts. */
+  /**
+   * Assigns the ports of a daemon, so that all daemons can have it as a seed
+   * before it starts.
+   */
   reserveDaemon(id: string, failureDomain: string): void {
     const [callers, peers, operators] = reservePorts(3);
-    const address = `${OWN_ADDRESS}:${peers}`;
+    const address = `${FLEET_ADDRESS}:${peers}`;
     this.#seeds.push({ id, address, failureDomain });
     this.daemons.set(id, {
       id,
       failureDomain,
-      callers: `${OWN_ADDRESS}:${callers}`,
+      callers: `${FLEET_ADDRESS}:${callers}`,
       peers: address,
-      operators: `${OWN_ADDRESS}:${operators}`,
+      operators: `${FLEET_ADDRESS}:${operators}`,
       child: undefined as unknown as ChildProcess,
       lines: [],
     });
   }
 
-  /** Starts a reserved daemon, anew if it has run before. */
+  /** Starts a reserved daemon, or restarts it at its old addresses. */
   async startDaemon(id: string): Promise<FleetDaemon> {
     const daemon = this.getDaemon(id);
     const file = join(this.#folder, `${id}.yaml`);
@@ -138,10 +150,13 @@
   getFake(id: string): FleetFake {
     const fake = this.fakes.get(id);
     if (fake) return fake;
-    throw new Error(`Expected a stand-in ${id}, found none`);
+    throw new Error(`Expected a fake ${id}, found none`);
   }
 
-  /** Writes a table to the configuration service, as an operator does. */
+  /**
+   * Writes a table to the configuration service, as an operator does, and
+   * returns its revision.
+   */
   async writeTable(key: string, text: string): Promise<number> {
     const { address } = this.getFake("configuration");
     const answer = await putJson(address, `/operator/keys/${key}`, {
@@ -150,7 +165,9 @@
     return (answer as { revision: number }).revision;
   }
 
-  /** Publishes the reserved daemons and the given upstreams as the host list. */
+  /**
+   * Publishes the reserved daemons and the given upstreams as the host list.
+   */
   async writeHosts(upstreams: readonly HostStructure[]): Promise<void> {
     const entries: HostStructure[] = this.#seeds.map((seed) => ({
       ...seed,
@@ -167,7 +184,10 @@
     await putJson(this.getFake(id).address, "/faults", faults);
   }
 
-  /** Makes a daemon refuse to talk to peers, upstreams or the platform. */
+  /**
+   * Simulates a network partition: the daemon exchanges nothing with the given
+   * parties until the next call.
+   */
   async cut(
     id: string,
     cut: { peers?: string[]; upstreams?: string[]; platform?: boolean },
@@ -175,7 +195,7 @@
     await putJson(this.getDaemon(id).operators, "/cut", cut);
   }
 
-  /** Waits until every named daemon serves. */
+  /** Waits until every given daemon reports that it is ready. */
   async waitUntilServing(ids: readonly string[]): Promise<void> {
     for (const id of ids) {
       await waitUntil(`daemon ${id} serves`, async () => {
@@ -193,7 +213,7 @@
     return await response.json() as FleetStatus;
   }
 
-  /** Returns a counter of a daemon, 0 where it has not counted yet. */
+  /** Returns a counter of a daemon; 0 if the counter does not exist yet. */
   async getCounter(id: string, counter: string): Promise<number> {
     const { metrics } = await this.getStatus(id);
     return metrics.counters[counter] ?? 0;
@@ -204,7 +224,10 @@
     target?.child.kill(signal);
   }
 
-  /** Waits for a process to end and returns its exit code. */
+  /**
+   * Waits until a process exits and returns its exit code; null if a signal
+   * ended it.
+   */
   async waitForExit(id: string, timeoutMs = 30_000): Promise<number | null> {
     const { child } = this.daemons.get(id) ?? this.getFake(id);
     if (child.exitCode !== null || child.signalCode !== null) {
@@ -222,7 +245,7 @@
     });
   }
 
-  /** Ends every process of the fleet. */
+  /** Kills all processes of the fleet and removes its settings files. */
   async stop(): Promise<void> {
     const children = [...this.#processes];
     this.#killAll();
@@ -242,8 +265,8 @@
     args: readonly string[],
   ): Promise<FleetFake> {
     const started = this.#spawn(id, args);
-    const first = await this.#waitForLine(started, () => true);
-    const { address } = JSON.parse(first) as { address: string };
+    const firstLine = await this.#waitForLine(started, () => true);
+    const { address } = JSON.parse(firstLine) as { address: string };
     const fake = { ...started, address };
     this.fakes.set(id, fake);
     return fake;
@@ -256,10 +279,10 @@
     });
     this.#processes.add(child);
     const lines: string[] = [];
-    let rest = "";
+    let incompleteLine = "";
     child.stdout.on("data", (chunk) => {
-      const parts = (rest + String(chunk)).split("\n");
-      rest = parts.pop() ?? "";
+      const parts = (incompleteLine + String(chunk)).split("\n");
+      incompleteLine = parts.pop() ?? "";
       lines.push(...parts);
     });
     child.stderr.on("data", (chunk) => lines.push(String(chunk)));
@@ -289,22 +312,25 @@
   }
 }
 
-/** Waits until the condition holds; a condition that throws a network error counts as not held. */
+/**
+ * Polls until the condition is met. A TypeError, which fetch throws for network
+ * errors, counts as not met. The first argument completes the error message.
+ */
 export async function waitUntil(
-  what: string,
-  isHeld: () => Promise<boolean>,
+  condition: string,
+  isMet: () => Promise<boolean>,
   timeoutMs = 15_000,
 ): Promise<void> {
-  const endsAt = performance.now() + timeoutMs;
-  while (performance.now() < endsAt) {
-    const held = await isHeld().catch((error: unknown) => {
+  const deadlineAt = performance.now() + timeoutMs;
+  while (performance.now() < deadlineAt) {
+    const isMetNow = await isMet().catch((error: unknown) => {
       if (error instanceof TypeError) return false;
       throw error;
     });
-    if (held) return;
+    if (isMetNow) return;
     await new Promise((resolve) => setTimeout(resolve, 20));
   }
-  throw new Error(`Expected within ${timeoutMs} ms that ${what}`);
+  throw new Error(`Expected within ${timeoutMs} ms that ${condition}`);
 }
 
 async function putJson(
@@ -318,20 +344,28 @@
     body: JSON.stringify(body),
   });
   if (response.ok) return await response.json();
-  throw new Error(`Expected ${path} to be taken, found ${response.status}`);
+  throw new Error(
+    `Expected ${path} to be accepted, found status ${response.status}`,
+  );
 }
 
-/** Returns a loopback address that no other process of this machine uses. */
-function computeOwnAddress(): string {
+/**
+ * Derives a loopback address from the process id, so that fleets of concurrent
+ * processes don't collide.
+ */
+function computeFleetAddress(): string {
   const [high, middle, low] = [16, 8, 0].map((shift) =>
     (process.pid >> shift) & 0xff
   );
-  return `127.${FIRST_OWN_NETWORK + (high ?? 0) % 64}.${middle}.${low}`;
+  return `127.${FIRST_LOOPBACK_NETWORK + (high ?? 0) % 64}.${middle}.${low}`;
 }
 
-/** Returns ports that this process has not used and that the system gives to no connection. */
+/**
+ * Returns ports not used before by this process, below the range that the
+ * kernel assigns to connections.
+ */
 function reservePorts(count: number): number[] {
-  const first = nextPort;
+  const firstPort = nextPort;
   nextPort += count;
-  return Array.from({ length: count }, (_, index) => first + index);
+  return Array.from({ length: count }, (_, index) => firstPort + index);
 }
--- a/scripts/load.ts
+++ b/scripts/load.ts
@@ -1,11 +1,14 @@
-/** `npm run load`: sends requests to daemons on loopback for a bounded time and reports latencies, outcomes and refusals. */
+/**
+ * `npm run load`: sends requests to daemons on loopback for a limited time and
+ * prints latencies, outcomes and refusals.
+ */
 import process from "node:process";
 import sade from "sade";
 import { LoadGenerator } from "./load/load_generator.ts";
 import type { LatencySummary, LoadSummary } from "./load/load_report.ts";
 
 const MAX_SECONDS = 600;
-const MAX_OPEN = 2_000;
+const MAX_IN_FLIGHT = 2_000;
 const EXIT_INVALID_ARGUMENTS = 2;
 
 interface LoadArguments {
@@ -21,13 +24,20 @@
 
 sade("load", true)
   .describe("Sends streamed requests at a steady mean rate.")
-  .option("--address", "Callers' addresses of daemons, separated by commas")
+  .option(
+    "--address",
+    "Addresses on which daemons listen for callers, comma-separated",
+  )
   .option("--token", "Bearer token", "derwent-demo-token")
-  .option("--routes", "Routes, the most popular first", "briefing")
-  .option("--zipf", "Exponent of the routes' popularity", 1)
-  .option("--rate", "Requests a second", 5)
-  .option("--seconds", `Time, at most ${MAX_SECONDS}`, 10)
-  .option("--seed", "Seed of arrivals and routes", 1)
+  .option(
+    "--routes",
+    "Comma-separated routes, the most popular first",
+    "briefing",
+  )
+  .option("--zipf", "Zipf exponent of the routes' popularity", 1)
+  .option("--rate", "Mean number of requests per second", 5)
+  .option("--seconds", `Duration in seconds, at most ${MAX_SECONDS}`, 10)
+  .option("--seed", "Random seed of arrival times, daemons and routes", 1)
   .option("--json", "Print JSON", false)
   .action(async (options: LoadArguments) => {
     const addresses = (options.address ?? "").split(",");
@@ -46,7 +56,7 @@
       ...options,
       addresses,
       routes: options.routes.split(","),
-      maxOpen: MAX_OPEN,
+      maxInFlight: MAX_IN_FLIGHT,
     });
     const summary = (await generator.run()).describe();
     if (options.json) console.log(JSON.stringify(summary, undefined, 2));
--- a/scripts/load/load_generator.ts
+++ b/scripts/load/load_generator.ts
@@ -1,4 +1,7 @@
-/** Sends streamed requests at a steady mean rate, whether or not earlier ones have been answered. */
+/**
+ * Open-loop load generator: sends streamed requests as a Poisson process of the
+ * given rate, whether or not earlier requests have been answered.
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -10,13 +13,19 @@
   addresses: readonly string[];
   token: string;
   routes: readonly string[];
-  /** Exponent of the popularity of the routes, the first being the most popular. */
+  /**
+   * Zipf exponent of the routes' popularity; the first route is the most
+   * popular.
+   */
   zipf: number;
-  /** Requests a second. */
+  /** Mean number of requests per second. */
   rate: number;
   seconds: number;
-  /** Requests open at once; more are counted as not sent. */
-  maxOpen: number;
+  /**
+   * Maximum number of requests in flight; those due beyond it are counted as
+   * not sent.
+   */
+  maxInFlight: number;
   seed: number;
 }
 
@@ -27,7 +36,7 @@
   readonly #random: RandomGenerator;
   readonly #weights: number[];
   readonly #report = new LoadReport();
-  readonly #open = new Set<Promise<void>>();
+  readonly #inFlight = new Set<Promise<void>>();
 
   constructor(options: LoadOptions) {
     this.#options = options;
@@ -37,20 +46,23 @@
     );
   }
 
-  /** Sends for the set time, waits for the answers and returns what was seen. */
+  /**
+   * Sends requests for the set time, waits for all answers and returns the
+   * report.
+   */
   async run(): Promise<LoadReport> {
-    const { rate, seconds, maxOpen } = this.#options;
+    const { rate, seconds, maxInFlight } = this.#options;
     const endsAt = performance.now() + seconds * MS_PER_SECOND;
     let dueAt = performance.now();
     while (dueAt < endsAt) {
       const waitMs = dueAt - performance.now();
       if (waitMs > 0) await sleep(waitMs);
-      if (this.#open.size >= maxOpen) this.#report.recordNotSent();
+      if (this.#inFlight.size >= maxInFlight) this.#report.recordNotSent();
       else this.#start(dueAt);
-      const share = 1 - uniformFloat64(this.#random);
-      dueAt += -Math.log(share) / rate * MS_PER_SECOND;
+      const sample = 1 - uniformFloat64(this.#random);
+      dueAt += -Math.log(sample) / rate * MS_PER_SECOND;
     }
-    await Promise.all(this.#open);
+    await Promise.all(this.#inFlight);
     return this.#report;
   }
 
@@ -59,11 +71,14 @@
     const index = Math.floor(uniformFloat64(this.#random) * addresses.length);
     const address = addresses[index] ?? "";
     const request = this.#send(address, this.#selectRoute(), dueAt);
-    this.#open.add(request);
-    void request.finally(() => this.#open.delete(request));
+    this.#inFlight.add(request);
+    void request.finally(() => this.#inFlight.delete(request));
   }
 
-  /** Sends one request; its latencies count from the time at which it was due. */
+  /**
+   * Sends one request. Latency to the first token counts from the time at which
+   * the request was due, so that a delay in sending it is included.
+   */
   async #send(address: string, model: string, dueAt: number): Promise<void> {
     this.#report.recordSent();
     let lastAt: number | undefined;
@@ -91,10 +106,10 @@
 
   #selectRoute(): string {
     const total = this.#weights.reduce((sum, weight) => sum + weight, 0);
-    let rest = uniformFloat64(this.#random) * total;
+    let remainingWeight = uniformFloat64(this.#random) * total;
     const index = this.#weights.findIndex((weight) => {
-      rest -= weight;
-      return rest < 0;
+      remainingWeight -= weight;
+      return remainingWeight < 0;
     });
     return this.#options.routes.at(index) ?? "";
   }
--- a/scripts/load/load_report.ts
+++ b/scripts/load/load_report.ts
@@ -1,11 +1,14 @@
-/** What a load run saw: latencies as histograms, answers by outcome and refusals by reason. */
+/**
+ * Results of a load run: latency histograms, answers by outcome and refusals by
+ * reason.
+ */
 import hdr from "hdr-histogram-js";
 
 const US_PER_MS = 1_000;
 const HIGHEST_US = 3_600_000_000;
 const PERCENTILES = [50, 95, 99] as const;
 
-/** A histogram in milliseconds. */
+/** Summary of a latency histogram, in milliseconds. */
 export interface LatencySummary {
   count: number;
   p50Ms: number;
@@ -16,7 +19,7 @@
 
 export interface LoadSummary {
   sent: number;
-  /** Requests that were due while too many were open. */
+  /** Requests that were due while the maximum number was in flight. */
   notSent: number;
   outcomes: Record<string, number>;
   refusals: Record<string, number>;
--- a/scripts/run_tests.ts
+++ b/scripts/run_tests.ts
@@ -1,6 +1,6 @@
 /**
- * Runs every test file in a process of its own and adds up the results. Cases
- * listed in KNOWN-RED.txt, and these alone, may fail; they are printed.
+ * Runs each test file in its own process and sums up the results. Only the test
+ * cases listed in KNOWN-RED.txt may fail; those that do are printed.
  */
 import { spawn } from "node:child_process";
 import { existsSync, readdirSync, readFileSync } from "node:fs";
@@ -10,8 +10,11 @@
 
 const MAX_PARALLEL = Math.max(2, Math.floor(cpus().length / 2));
 const FILE_TIMEOUT_MS = 300_000;
-/** Time for a file that does not end to print why. */
-const KILL_DELAY_MS = 5_000;
+/**
+ * Time between SIGTERM and SIGKILL, in which a hung file prints what keeps it
+ * alive.
+ */
+const KILL_GRACE_MS = 5_000;
 const KNOWN_RED_FILE = "KNOWN-RED.txt";
 
 interface FileResult {
@@ -46,7 +49,10 @@
   }).sort();
 }
 
-/** Returns the lines `test: <file>: <case>` of the list of known faults. */
+/**
+ * Returns `<file>: <case>` of each line `test: <file>: <case>` of
+ * KNOWN-RED.txt.
+ */
 function readKnownRed(): Set<string> {
   if (!existsSync(KNOWN_RED_FILE)) return new Set();
   return new Set(
@@ -59,16 +65,16 @@
 async function runAll(queue: readonly string[]): Promise<FileResult[]> {
   const waiting = [...queue];
   const results: FileResult[] = [];
-  const runQueued = async (): Promise<void> => {
+  const runQueuedFiles = async (): Promise<void> => {
     for (let file = waiting.shift(); file; file = waiting.shift()) {
       const result = await runFile(file);
       results.push(result);
-      const mark = isGreen(result) ? "ok  " : "FAIL";
-      console.log(`${mark} ${file} (${result.passed}/${result.total})`);
-      if (!isGreen(result)) console.log(result.output);
+      const label = hasPassed(result) ? "ok  " : "FAIL";
+      console.log(`${label} ${file} (${result.passed}/${result.total})`);
+      if (!hasPassed(result)) console.log(result.output);
     }
   };
-  await Promise.all(Array.from({ length: MAX_PARALLEL }, runQueued));
+  await Promise.all(Array.from({ length: MAX_PARALLEL }, runQueuedFiles));
   return results;
 }
 
@@ -82,7 +88,7 @@
   ], { stdio: ["ignore", "pipe", "pipe"] });
   const timers = [
     setTimeout(() => child.kill("SIGTERM"), FILE_TIMEOUT_MS),
-    setTimeout(() => child.kill("SIGKILL"), FILE_TIMEOUT_MS + KILL_DELAY_MS),
+    setTimeout(() => child.kill("SIGKILL"), FILE_TIMEOUT_MS + KILL_GRACE_MS),
   ];
   let output = "";
   child.stdout.on("data", (chunk) => output += String(chunk));
@@ -112,21 +118,29 @@
     .reduce((total, match) => total + Number(match[1]), 0);
 }
 
-/** A file whose hooks fail can end with code 0 though its cases did not run. */
-function isGreen(result: FileResult): boolean {
+/**
+ * Returns whether all cases of a file ran and passed. The exit code alone is not
+ * enough: it can be 0 although a failing hook kept the cases from running.
+ */
+function hasPassed(result: FileResult): boolean {
   return result.exitCode === 0 && result.total > 0 &&
     result.passed === result.total;
 }
 
+/**
+ * Counts the failures that KNOWN-RED.txt does not list; a failed file without
+ * named cases counts at least one.
+ */
 function countUnexpectedFailures(result: FileResult): number {
-  if (isGreen(result)) return 0;
+  if (hasPassed(result)) return 0;
   const unexpected = result.failedCases.filter((name) => {
     const entry = `${result.file}: ${name}`;
     if (!knownRed.has(entry)) return true;
     console.log(`known red, passed over: ${entry}`);
     return false;
   });
-  const uncounted = result.total - result.passed - result.failedCases.length;
-  if (result.failedCases.length === 0) return Math.max(1, uncounted);
-  return unexpected.length + Math.max(0, uncounted);
+  const unnamedFailures = result.total - result.passed -
+    result.failedCases.length;
+  if (result.failedCases.length === 0) return Math.max(1, unnamedFailures);
+  return unexpected.length + Math.max(0, unnamedFailures);
 }
--- a/scripts/site.ts
+++ b/scripts/site.ts
@@ -1,4 +1,7 @@
-/** A site for the process tests: daemons as real processes, stand-ins of upstreams and the platform in this process. */
+/**
+ * A complete deployment for the process tests: the daemons are real processes,
+ * the fakes of upstreams and platform run in this process.
+ */
 import { FakeConfiguration } from "../fakes/fake_configuration.ts";
 import { FakeEngine } from "../fakes/fake_engine.ts";
 import { FakeHostList } from "../fakes/fake_host_list.ts";
@@ -14,9 +17,9 @@
 } from "./caller.ts";
 import { Fleet, waitUntil } from "./fleet.ts";
 import {
+  FEED_ORDER_ROUTE,
   formatSitePools,
   formatSiteRoutes,
-  ORDER_ROUTE,
   type RouteLimits,
   SITE_TOKEN,
   type SiteDomain,
@@ -26,7 +29,10 @@
 export * from "./site_answers.ts";
 export type { SiteOptions } from "./site_tables.ts";
 
-/** Core settings that let leases and views of peers expire within a test. */
+/**
+ * Core settings short enough that leases expire and peers are found dead within
+ * a test.
+ */
 export const SHORT_CORE_SETTINGS = {
   heartbeatIntervalMs: 100,
   peerTimeoutMs: 800,
@@ -70,7 +76,7 @@
     this.fleet = new Fleet(this.options);
   }
 
-  /** Starts the stand-ins and reserves the daemons, without starting them. */
+  /** Starts the fakes and reserves the daemons without starting them. */
   async startFakes(): Promise<void> {
     await this.configuration.start();
     await this.hostList.start();
@@ -82,7 +88,10 @@
     await this.fleet.writeTable("routes", this.formatRoutes("v1"));
   }
 
-  /** Starts everything and waits until every daemon serves and every upstream is owned. */
+  /**
+   * Starts all fakes and daemons; waits until all daemons serve and all
+   * upstreams have owners.
+   */
   async start(): Promise<void> {
     await this.startFakes();
     await Promise.all(this.daemonIds.map((id) => this.fleet.startDaemon(id)));
@@ -101,7 +110,7 @@
     await Promise.all(fakes.map((fake) => fake.stop()));
   }
 
-  /** Returns the only engine, or the named one. */
+  /** Returns the engine of the given id, or the first one. */
   getEngine(id?: string): FakeEngine {
     const engine = id === undefined
       ? [...this.engines.values()][0]
@@ -110,7 +119,7 @@
     throw new Error(`Expected an engine ${id}, found none`);
   }
 
-  /** Sends an idempotent request and reads its answer. */
+  /** Sends an idempotent streamed request and reads its answer to the end. */
   async call(daemonId: string, model: string, content = "x"): Promise<
     CallerAnswer
   > {
@@ -121,7 +130,7 @@
     return this.#startCompletion(daemonId, model, content, true);
   }
 
-  /** Sends a request whose answer comes in one piece, at its end. */
+  /** Sends a request whose answer is not streamed. */
   startWholeCall(
     daemonId: string,
     model: string,
@@ -130,7 +139,9 @@
     return this.#startCompletion(daemonId, model, content, false);
   }
 
-  /** Starts streams and waits until each has sent some tokens. */
+  /**
+   * Starts streams and waits until each caller has received `minTokens` tokens.
+   */
   async startStreams(
     daemonId: string,
     models: readonly string[],
@@ -147,23 +158,26 @@
     return calls;
   }
 
-  /** Gets a ticket for a non-idempotent request. */
+  /** Gets a ticket for a non-idempotent request from the given daemon. */
   async getTicket(daemonId: string, pen: number): Promise<string> {
-    const answer = await sendCall(this.#formatOrder(daemonId, pen));
+    const answer = await sendCall(this.#buildFeedOrderCall(daemonId, pen));
     return answer.refusal?.ticket ?? "";
   }
 
-  /** Sends a non-idempotent request, with a ticket of its own unless one is given. */
+  /**
+   * Sends a non-idempotent request under the given ticket, or under a new one.
+   */
   async order(
     daemonId: string,
     pen: number,
     ticket?: string,
   ): Promise<CallerAnswer> {
-    const call = this.#formatOrder(daemonId, pen);
+    const call = this.#buildFeedOrderCall(daemonId, pen);
     if (ticket === undefined) return await sendTicketedCall(call);
     return await sendCall({ ...call, ticket });
   }
 
+  /** Counts how often the request of this pen ran on any service. */
   countOrders(pen: number): number {
     const body = JSON.stringify({ pen });
     return [...this.services.values()].flatMap((service) => service.ran)
@@ -180,12 +194,15 @@
       .filter((run) => run.model === model).length;
   }
 
-  /** Returns the daemon that owns the upstream, as the daemons themselves see it. */
+  /**
+   * Returns the daemon that reports owning the upstream; undefined if none
+   * does.
+   */
   async findOwner(
     upstreamId: string,
-    among: readonly string[] = this.daemonIds,
+    daemonIds: readonly string[] = this.daemonIds,
   ): Promise<string | undefined> {
-    for (const id of among) {
+    for (const id of daemonIds) {
       const { upstreams } = await this.fleet.getStatus(id);
       const isOwner = upstreams.some((upstream) =>
         upstream.upstreamId === upstreamId && upstream.state === "owning"
@@ -201,25 +218,28 @@
     throw new Error(`Expected an owner of ${upstreamId}, found none`);
   }
 
-  /** Waits until every upstream is owned by one of the daemons. */
-  async waitUntilOwned(among: readonly string[]): Promise<void> {
+  /**
+   * Waits until each upstream in the failure domains of the given daemons is owned
+   * by one of them.
+   */
+  async waitUntilOwned(daemonIds: readonly string[]): Promise<void> {
     const domains = new Set(
-      among.map((id) => this.fleet.getDaemon(id).failureDomain),
+      daemonIds.map((id) => this.fleet.getDaemon(id).failureDomain),
     );
     for (const { id, failureDomain } of this.upstreams) {
       if (!domains.has(failureDomain)) continue;
       await waitUntil(
         `${id} has an owner`,
-        async () => (await this.findOwner(id, among)) !== undefined,
+        async () => (await this.findOwner(id, daemonIds)) !== undefined,
       );
     }
   }
 
   async waitUntilInForce(
     revision: number,
-    among: readonly string[] = this.daemonIds,
+    daemonIds: readonly string[] = this.daemonIds,
   ): Promise<void> {
-    for (const id of among) {
+    for (const id of daemonIds) {
       await waitUntil(
         `revision ${revision} is in force at ${id}`,
         async () => (await this.fleet.getStatus(id)).tablesRevision >= revision,
@@ -303,11 +323,14 @@
     });
   }
 
-  #formatOrder(daemonId: string, pen: number): Parameters<typeof sendCall>[0] {
+  #buildFeedOrderCall(
+    daemonId: string,
+    pen: number,
+  ): Parameters<typeof sendCall>[0] {
     return {
       address: this.fleet.getDaemon(daemonId).callers,
       token: SITE_TOKEN,
-      path: `/v1/services/${ORDER_ROUTE}`,
+      path: `/v1/services/${FEED_ORDER_ROUTE}`,
       body: { pen },
     };
   }
--- a/scripts/site_answers.ts
+++ b/scripts/site_answers.ts
@@ -1,7 +1,10 @@
-/** Checks of the answers that callers of a test site get. */
+/** Checks of the answers that callers of a test deployment get. */
 import { type CallerAnswer, readTokens } from "./caller.ts";
 
-/** Returns whether the answer is whole: every token of the adapter once and in order. */
+/**
+ * Returns whether the answer is complete: every token of the adapter exactly
+ * once and in order.
+ */
 export function isExactAnswer(
   answer: CallerAnswer,
   adapterKey: string,
@@ -18,7 +21,7 @@
     found.every((token, index) => token === expected[index]);
 }
 
-/** Describes an answer for the message of a failed check. */
+/** Formats an answer for the message of a failed assertion. */
 export function describeAnswer(answer: CallerAnswer): string {
   const { status, isWhole, refusal, text } = answer;
   const tokens = readTokens(text);
--- a/scripts/site_tables.ts
+++ b/scripts/site_tables.ts
@@ -1,14 +1,14 @@
-/** Options and tables of a test site. */
+/** Options of a test deployment, and the tables that it starts with. */
 import { createHash } from "node:crypto";
 import { stringify } from "yaml";
 import type { FleetOptions } from "./fleet.ts";
 
-/** Bearer token of the site's only customer. */
+/** Bearer token of the deployment's only customer. */
 export const SITE_TOKEN = "derwent-test-token";
-/** Route to the plain services, which is not idempotent. */
-export const ORDER_ROUTE = "feed-order";
+/** Non-idempotent route to the plain services. */
+export const FEED_ORDER_ROUTE = "feed-order";
 
-/** Hosts of one failure domain. */
+/** Number of hosts of each kind in one failure domain. */
 export interface SiteDomain {
   name: string;
   daemons: number;
@@ -18,7 +18,10 @@
 
 export interface SiteOptions extends FleetOptions {
   domains: SiteDomain[];
-  /** Routes `adapter-0`, `adapter-1`, … each to the adapter of its name. */
+  /**
+   * Number of routes `adapter-0`, `adapter-1`, …, each to the adapter of the
+   * same name.
+   */
   adapters?: number;
   slots?: number;
   batchSize?: number;
@@ -30,7 +33,7 @@
   queueDeadlineMs?: number;
 }
 
-/** Limits of the routes that a test may change. */
+/** Limits of the routes that a test may change in a later revision. */
 export type RouteLimits = Partial<
   Pick<SiteOptions, "maxRunMs" | "queueDeadlineMs">
 >;
@@ -82,7 +85,7 @@
         ...limits,
       })),
       {
-        name: ORDER_ROUTE,
+        name: FEED_ORDER_ROUTE,
         customer: "derwent",
         pool: "dispatch",
         idempotent: false,
--- a/test/processes/load_test.ts
+++ b/test/processes/load_test.ts
@@ -20,7 +20,7 @@
 
 async function runLoad(
   routes: readonly string[],
-  maxOpen = 100,
+  maxInFlight = 100,
 ): ReturnType<LoadGenerator["run"]> {
   const addresses = site.daemonIds.map((id) =>
     site.fleet.getDaemon(id).callers
@@ -32,7 +32,7 @@
     zipf: 1,
     rate: 40,
     seconds: 1,
-    maxOpen,
+    maxInFlight,
     seed: 7,
   }).run();
 }
