--- a/fakes/fake_platform_replica.ts
+++ b/fakes/fake_platform_replica.ts
@@ -21,16 +21,24 @@
 export type ReplicaBehaviour =
   | "answer"
   | "fail"
+  /** Refused with 503 and `X-Not-Run`. */
   | "shed"
   | "hang"
   | "reset"
+  /** The connection is closed before `Content-Length` bytes were sent. */
   | "truncate"
+  /** An answer without length, whose end is the close of the connection. */
   | "unframed"
+  /** As `unframed`, but the connection is reset during the body. */
   | "unframedReset"
+  /** An empty answer, followed by a second one that belongs to no request. */
   | "extra"
   | "wrongId"
+  /** An answer without `X-Response-Stamp`. */
   | "noProof"
+  /** An answer with `Content-Encoding: gzip`. */
   | "encoded"
+  /** The connection of a stream is reset within its third event. */
   | "breakStream"
   | "slow"
   | EndlessPart;
--- a/fakes/fake_server.ts
+++ b/fakes/fake_server.ts
@@ -1,6 +1,6 @@
 /**
- * Base class of the fakes: an express app on a loopback port whose faults can be
- * set with `PUT /faults`.
+ * Base class of the fakes: an express app on a loopback port whose faults can
+ * be set with `PUT /faults`.
  */
 import type { Server } from "node:http";
 import type { Socket } from "node:net";
--- a/scripts/demo.ts
+++ b/scripts/demo.ts
@@ -1,6 +1,6 @@
 /**
- * The demo: runs daemons and fakes as separate processes and prints one line per
- * step; exits with a non-zero code when a step has an unexpected result.
+ * The demo: runs daemons and fakes as separate processes and prints one line
+ * per step; exits with a non-zero code when a step has an unexpected result.
  */
 import process from "node:process";
 import { type CallerAnswer, sendCall, sendTicketedCall } from "./caller.ts";
--- a/scripts/run_tests.ts
+++ b/scripts/run_tests.ts
@@ -119,8 +119,8 @@
 }
 
 /**
- * Returns whether all cases of a file ran and passed. The exit code alone is not
- * enough: it can be 0 although a failing hook kept the cases from running.
+ * Returns whether all cases of a file ran and passed. The exit code alone is
+ * not enough: it can be 0 although a failing hook kept the cases from running.
  */
 function hasPassed(result: FileResult): boolean {
   return result.exitCode === 0 && result.total > 0 &&
--- a/scripts/site.ts
+++ b/scripts/site.ts
@@ -219,8 +219,8 @@
   }
 
   /**
-   * Waits until each upstream in the failure domains of the given daemons is owned
-   * by one of them.
+   * Waits until each upstream in the failure domains of the given daemons is
+   * owned by one of them.
    */
   async waitUntilOwned(daemonIds: readonly string[]): Promise<void> {
     const domains = new Set(
--- a/test/processes/configuration_test.ts
+++ b/test/processes/configuration_test.ts
@@ -1,4 +1,8 @@
-/** The configuration service down, stale and edited in races: revisions never go back, and each answer is of one revision. */
+/**
+ * Guards against tables that go back to an older revision, and answers that mix
+ * revisions, when the configuration service is down, answers with stale
+ * revisions or is edited during requests.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { waitUntil } from "../../scripts/fleet.ts";
@@ -31,7 +35,7 @@
   );
 }
 
-test("a daemon that starts while the service is down serves when it is back", async () => {
+test("a daemon that starts while the service is down serves once it recovers", async () => {
   site.configuration.setDown(true);
   await site.fleet.startDaemon(first);
   await waitUntil(
@@ -46,7 +50,7 @@
   await expectVersion(first, "v1");
 });
 
-test("a daemon that starts while the service is down takes the tables from its peer", async () => {
+test("a daemon that starts while the service is down gets the tables from its peer", async () => {
   site.configuration.setDown(true);
   await site.fleet.startDaemon(second);
   await site.fleet.waitUntilServing([second]);
@@ -55,14 +59,14 @@
   site.configuration.setDown(false);
 });
 
-test("a daemon restarted before a stale service serves the newer revision of its peer", async () => {
-  const old = (await site.fleet.getStatus(first)).tablesRevision;
+test("a daemon restarted while the service is stale serves the newer revision of its peer", async () => {
+  const oldRevision = (await site.fleet.getStatus(first)).tablesRevision;
   const revision = await site.fleet.writeTable(
     "routes",
     site.formatRoutes("v2"),
   );
   await site.waitUntilInForce(revision);
-  site.configuration.faults.staleAtRevision = old;
+  site.configuration.faults.staleAtRevision = oldRevision;
   site.fleet.signal(second, "SIGKILL");
   await site.fleet.waitForExit(second);
   await site.fleet.startDaemon(second);
@@ -74,7 +78,7 @@
   site.configuration.faults.staleAtRevision = 0;
 });
 
-test("an invalid revision changes nothing", async () => {
+test("an invalid revision does not replace the revision in force", async () => {
   await site.fleet.writeTable("routes", "routes: [{name: 1}]");
   await waitUntil(
     "the revision is rejected",
@@ -95,9 +99,9 @@
   let isEditing = true;
   let answers = 0;
   const callers = Array.from({ length: 6 }, async (_, index) => {
-    for (let turn = 0; isEditing; turn += 1) {
-      const daemon = turn % 2 === 0 ? first : second;
-      const adapter = `adapter-${(index + turn) % 2}`;
+    for (let round = 0; isEditing; round += 1) {
+      const daemon = round % 2 === 0 ? first : second;
+      const adapter = `adapter-${(index + round) % 2}`;
       const answer = await site.call(daemon, adapter);
       const revision = Number(answer.headers.get("x-tables-revision"));
       await waitUntil(
@@ -121,16 +125,19 @@
       site.formatRoutes(version),
     );
     versions.set(revision, version);
-    // The next edit comes as soon as some answers have been given since this one.
+    // Waits for some answers under this revision before the next edit.
     await Promise.race([
       running,
-      waitUntil("answers go on", () => Promise.resolve(answers >= expected)),
+      waitUntil(
+        "more answers arrive",
+        () => Promise.resolve(answers >= expected),
+      ),
     ]);
   }
   isEditing = false;
   await running;
-  const last = await site.fleet.getStatus(first);
-  assert.is(last.tablesRevision, Math.max(...versions.keys()));
+  const finalStatus = await site.fleet.getStatus(first);
+  assert.is(finalStatus.tablesRevision, Math.max(...versions.keys()));
   assert.is(site.countEvictionsInUse(), 0);
 });
 
--- a/test/processes/crash_test.ts
+++ b/test/processes/crash_test.ts
@@ -1,4 +1,8 @@
-/** A request that crashes each upstream that runs it, sent again and again by its caller. */
+/**
+ * Guards against a request that crashes each upstream running it and takes down
+ * all engines because the daemons and its caller keep retrying it, and against
+ * quarantining requests that merely shared a batch with it.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { RefusalReason } from "../../src/core/outcomes.ts";
@@ -12,18 +16,21 @@
 } from "../../scripts/site.ts";
 
 const TOKENS = 60;
-const MAX_STRIKES = 2;
-/** Nobody pauses here, and a busy machine must not look like it. */
+const MAX_CRASHES = 2;
+/**
+ * No process is paused here; long timeouts keep a busy machine from looking
+ * like a pause.
+ */
 const CORE_SETTINGS = {
   ...SHORT_CORE_SETTINGS,
   peerTimeoutMs: 5_000,
   pauseThresholdMs: 5_000,
   ownershipValidityMs: 5_000,
 };
-const CRASHING = "CRASH-ENGINE please";
+const CRASHING_CONTENT = "CRASH-ENGINE please";
 const test = suite("crash");
 let site: Site;
-let neighbours: RunningCall[] = [];
+let sharedBatchCalls: RunningCall[] = [];
 
 test.before(async () => {
   site = new Site({
@@ -36,10 +43,11 @@
 
 test.after(async () => await site.stop());
 
-test("a crashing request is stopped at the bound, through whichever daemon it comes", async () => {
-  // Neighbours that have sent nothing yet are retried; whole answers begin at their end.
+test("a crashing request is quarantined after the maximum number of crashes, whichever daemon gets it", async () => {
+  // Calls whose answer has not begun are retried; an answer that is not
+  // streamed begins when its run ends.
   const [first = "", second = ""] = site.daemonIds;
-  neighbours = Array.from(
+  sharedBatchCalls = Array.from(
     { length: 8 },
     (_, index) =>
       site.startWholeCall(
@@ -48,33 +56,33 @@
         `neighbour ${index}`,
       ),
   );
-  await waitUntil("the neighbours run", () =>
+  await waitUntil("the calls that share batches run", () =>
     Promise.resolve(
       [...site.engines.values()].flatMap(({ history }) => history).length >= 8,
     ));
   const reasons = [];
-  for (let turn = 0; turn < 4; turn += 1) {
-    const daemon = turn % 2 === 0 ? first : second;
-    const answer = await site.call(daemon, "adapter-0", CRASHING);
+  for (let round = 0; round < 4; round += 1) {
+    const daemon = round % 2 === 0 ? first : second;
+    const answer = await site.call(daemon, "adapter-0", CRASHING_CONTENT);
     reasons.push(answer.refusal?.reason);
   }
   const crashes = [...site.engines.values()].flatMap(({ history }) => history)
-    .filter(({ body }) => body.includes(CRASHING)).length;
+    .filter(({ body }) => body.includes(CRASHING_CONTENT)).length;
   assert.is.not(crashes, 0);
-  assert.ok(crashes <= MAX_STRIKES, `ran on ${crashes} upstreams`);
+  assert.ok(crashes <= MAX_CRASHES, `ran on ${crashes} upstreams`);
   assert.is(reasons.at(-1), RefusalReason.Quarantined);
 });
 
-test("the neighbours in the batches that it killed are all answered", async () => {
-  for (const [index, call] of neighbours.entries()) {
+test("all other requests in the crashed batches are answered", async () => {
+  for (const [index, call] of sharedBatchCalls.entries()) {
     const answer = await call.answer;
     assert.is(answer.status, 200, describeAnswer(answer));
     assert.match(answer.text, `adapter-${index % 2}@v1#${TOKENS - 1}`);
   }
 });
 
-test("the neighbours of a crashing request are not quarantined", async () => {
-  for (const [turn, daemon] of site.daemonIds.entries()) {
+test("requests that shared a batch with a crashing request are not quarantined", async () => {
+  for (const [round, daemon] of site.daemonIds.entries()) {
     const answers = await Promise.all(
       Array.from(
         { length: 8 },
@@ -85,7 +93,7 @@
     for (const [index, answer] of answers.entries()) {
       assert.ok(
         isExactAnswer(answer, `adapter-${index % 2}@v1`, TOKENS),
-        `turn ${turn}: ${describeAnswer(answer)}`,
+        `round ${round}: ${describeAnswer(answer)}`,
       );
     }
   }
--- a/test/processes/demo_test.ts
+++ b/test/processes/demo_test.ts
@@ -1,4 +1,7 @@
-/** The demo passes: the whole path, as separate processes. */
+/**
+ * Runs the demo, which guards the path from caller to engine across separate
+ * processes.
+ */
 import { spawnSync } from "node:child_process";
 import process from "node:process";
 import { test } from "uvu";
--- a/test/processes/kill_test.ts
+++ b/test/processes/kill_test.ts
@@ -1,4 +1,7 @@
-/** Daemons killed in the midst of work: the others go on, and nothing in use is evicted. */
+/**
+ * Guards against a killed daemon that interrupts requests of other daemons, or
+ * whose successor evicts adapters that are still in use.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { waitUntil } from "../../scripts/fleet.ts";
@@ -24,24 +27,33 @@
   return { owner, others: site.daemonIds.filter((id) => id !== owner) };
 }
 
-test("a killed entry breaks its own streams alone, and its leases end", async () => {
+test("a killed entry breaks only its own streams, and its leases expire", async () => {
   const { others } = await findRoles();
-  const [victim = "", other = ""] = others;
-  const broken = await site.startStreams(victim, ["adapter-0", "adapter-1"]);
-  const kept = await site.startStreams(other, ["adapter-0", "adapter-1"]);
-  site.fleet.signal(victim, "SIGKILL");
-  const cold = site.startCall(other, "adapter-2");
-  for (const call of broken) {
-    assert.not.ok((await call.answer).isWhole, "reported as broken");
+  const [killedEntry = "", other = ""] = others;
+  const brokenStreams = await site.startStreams(killedEntry, [
+    "adapter-0",
+    "adapter-1",
+  ]);
+  const unaffectedStreams = await site.startStreams(other, [
+    "adapter-0",
+    "adapter-1",
+  ]);
+  site.fleet.signal(killedEntry, "SIGKILL");
+  const coldCall = site.startCall(other, "adapter-2");
+  for (const call of brokenStreams) {
+    assert.not.ok(
+      (await call.answer).isWhole,
+      "the stream is reported as broken",
+    );
   }
-  for (const [index, call] of kept.entries()) {
+  for (const [index, call] of unaffectedStreams.entries()) {
     const answer = await call.answer;
     assert.ok(
       isExactAnswer(answer, `adapter-${index}@v1`, TOKENS),
       describeAnswer(answer),
     );
   }
-  const answer = await cold.answer;
+  const answer = await coldCall.answer;
   assert.ok(
     isExactAnswer(answer, "adapter-2@v1", TOKENS),
     describeAnswer(answer),
@@ -51,19 +63,19 @@
   assert.is(site.countEvictionsInUse(), 0);
 });
 
-test("a killed owner breaks no stream, and its successor waits for its leases", async () => {
+test("a killed owner breaks no stream, and its successor waits for its leases to expire", async () => {
   const { owner, others } = await findRoles();
   const [first = "", second = ""] = others;
   const streams = [
     ...await site.startStreams(first, ["adapter-0"]),
     ...await site.startStreams(second, ["adapter-1"]),
   ];
-  const waiting = ["adapter-2", "adapter-3"].map((model) =>
+  const waitingCalls = ["adapter-2", "adapter-3"].map((model) =>
     site.startCall(first, model)
   );
   site.fleet.signal(owner, "SIGKILL");
   await site.waitUntilOwned(others);
-  for (const [index, call] of [...streams, ...waiting].entries()) {
+  for (const [index, call] of [...streams, ...waitingCalls].entries()) {
     const answer = await call.answer;
     assert.ok(
       isExactAnswer(answer, `adapter-${index}@v1`, TOKENS),
@@ -73,7 +85,7 @@
   assert.is(site.countEvictionsInUse(), 0);
 });
 
-test("an owner killed while it loads leaves the load to its successor", async () => {
+test("a load whose owner is killed is completed by the successor", async () => {
   const { owner, others } = await findRoles();
   const [first = ""] = others;
   const engine = site.getEngine();
@@ -81,7 +93,7 @@
   const calls = ["adapter-4", "adapter-5"].map((model) =>
     site.startCall(first, model)
   );
-  await waitUntil("the owner loads", async () => {
+  await waitUntil("the owner has started both loads", async () => {
     const { upstreams } = await site.fleet.getStatus(owner);
     return upstreams.some(({ slots }) => slots.length === 2);
   });
--- a/test/processes/load_test.ts
+++ b/test/processes/load_test.ts
@@ -1,4 +1,7 @@
-/** The load tool counts what it sent and what came of it. */
+/**
+ * Guards against a load tool that miscounts requests, tokens, outcomes or
+ * refusals.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { LoadGenerator } from "../../scripts/load/load_generator.ts";
@@ -37,7 +40,7 @@
   }).run();
 }
 
-test("every request is answered and every token counted", async () => {
+test("all requests are answered and their latencies recorded", async () => {
   const report = (await runLoad(["adapter-0", "adapter-1"])).describe();
   assert.ok(report.sent > 10);
   assert.is(report.notSent, 0);
@@ -54,7 +57,7 @@
   assert.is(report.firstToken.count, 0);
 });
 
-test("requests beyond the bound are not sent", async () => {
+test("requests beyond the maximum in flight are not sent", async () => {
   const report = (await runLoad(["adapter-0"], 1)).describe();
   assert.ok(report.notSent > 0);
   assert.equal(report.outcomes, { completed: report.sent });
--- a/test/processes/partition_test.ts
+++ b/test/processes/partition_test.ts
@@ -1,4 +1,8 @@
-/** Holds the rows of the table of cuts in docs/OPERATORS.md that no other test holds. */
+/**
+ * Tests the network partitions and outages listed in docs/OPERATORS.md that no
+ * other test covers: requests are still served where possible, or refused with
+ * the right outcome, and no adapter in use is evicted.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { waitUntil } from "../../scripts/fleet.ts";
@@ -39,7 +43,7 @@
 
 async function waitUntilHealed(): Promise<void> {
   for (const id of site.daemonIds) {
-    await waitUntil(`${id} hears its peers`, async () => {
+    await waitUntil(`${id} considers its peers alive`, async () => {
       const { failureDomain, peers } = await site.fleet.getStatus(id);
       return peers.every((peer) =>
         peer.live || peer.failureDomain !== failureDomain
@@ -49,11 +53,11 @@
   await site.waitUntilOwned(site.daemonIds);
 }
 
-async function waitUntilSilent(
+async function waitUntilPeersDead(
   id: string,
   peers: readonly string[],
 ): Promise<void> {
-  await waitUntil(`${id} misses ${peers}`, async () => {
+  await waitUntil(`${id} no longer considers ${peers} alive`, async () => {
     const status = await site.fleet.getStatus(id);
     return status.peers.every((peer) => !peers.includes(peer.id) || !peer.live);
   });
@@ -70,16 +74,16 @@
   );
 }
 
-test("domain from domain: each serves by its own upstreams alone", async () => {
-  const cutA = { peers: [b1, b2], upstreams: [ENGINE_B] };
-  const cutB = {
+test("partition between failure domains: each serves with its own upstreams only", async () => {
+  const partitionA = { peers: [b1, b2], upstreams: [ENGINE_B] };
+  const partitionB = {
     peers: [a1, a2],
     upstreams: [ENGINE_A, "service-hobart-a-1"],
   };
-  for (const id of [a1, a2]) await site.fleet.cut(id, cutA);
-  for (const id of [b1, b2]) await site.fleet.cut(id, cutB);
-  await waitUntilSilent(a1, [b1, b2]);
-  for (const id of [b1, b2]) await waitUntilSilent(id, [a1, a2]);
+  for (const id of [a1, a2]) await site.fleet.cut(id, partitionA);
+  for (const id of [b1, b2]) await site.fleet.cut(id, partitionB);
+  await waitUntilPeersDead(a1, [b1, b2]);
+  for (const id of [b1, b2]) await waitUntilPeersDead(id, [a1, a2]);
   for (const id of site.daemonIds) await expectServed(id);
   assert.is((await site.order(a1, 1)).status, 200);
   const order = await site.order(b1, 2);
@@ -94,7 +98,7 @@
   await site.waitUntilInForce(revision);
 });
 
-test("domain from platform: the last tables stay in force, also after a restart", async () => {
+test("partition between a failure domain and the platform: daemons serve, and remote peers forward new tables", async () => {
   for (const id of [b1, b2]) await site.fleet.cut(id, { platform: true });
   for (const id of [b1, b2]) {
     const before = await site.fleet.getCounter(
@@ -102,7 +106,7 @@
       "platform_unread.readHostList",
     );
     await waitUntil(
-      `${id} misses the platform`,
+      `${id} has failed to read the host list`,
       async () =>
         await site.fleet.getCounter(id, "platform_unread.readHostList") >
           before,
@@ -112,21 +116,23 @@
     "routes",
     site.formatRoutes("v1"),
   );
-  // Peers of other domains pass the revision on.
+  // Remote peers forward the revision.
   await site.waitUntilInForce(revision);
   for (const id of site.daemonIds) await expectServed(id);
 });
 
-test("daemon from its domain's peers: both sides serve, and nothing in use is evicted", async () => {
+test("partition between a daemon and its local peers: both sides serve, and no adapter in use is evicted", async () => {
   await site.fleet.cut(b1, { peers: [a1, a2, b2] });
-  await waitUntilSilent(b1, [a1, a2, b2]);
-  await waitUntilSilent(b2, [b1]);
+  await waitUntilPeersDead(b1, [a1, a2, b2]);
+  await waitUntilPeersDead(b2, [b1]);
   await site.waitUntilOwned([b1]);
-  const [alone, rest] = await Promise.all([
+  const [partitionedAnswers, peerAnswers] = await Promise.all([
     Promise.all([0, 1, 2].map((n) => site.call(b1, `adapter-${n}`))),
     Promise.all([3, 4, 5].map((n) => site.call(b2, `adapter-${n}`))),
   ]);
-  for (const [index, answer] of [...alone, ...rest].entries()) {
+  for (
+    const [index, answer] of [...partitionedAnswers, ...peerAnswers].entries()
+  ) {
     assert.ok(
       isExactAnswer(answer, `adapter-${index}@v1`, TOKENS),
       describeAnswer(answer),
@@ -134,14 +140,14 @@
   }
 });
 
-test("an entry from an upstream that its owner reaches: another upstream answers", async () => {
+test("partition between an entry and an upstream that its owner reaches: another upstream answers", async () => {
   await expectServed(b1);
   await site.fleet.cut(b1, { upstreams: [ENGINE_B] });
   await expectServed(b1);
   await expectServed(b2);
 });
 
-test("all daemons from one upstream: others answer, without others the refusal says so", async () => {
+test("partition between all daemons and an upstream: other upstreams answer, or the request is refused", async () => {
   for (const id of site.daemonIds) {
     await site.fleet.cut(id, { upstreams: ["service-hobart-a-1", ENGINE_B] });
   }
@@ -152,14 +158,14 @@
   assert.is(site.countOrders(3), 0);
 });
 
-test("host list down: the last list stays in force", async () => {
+test("host list down: the last list stays in force, also after a restart of a daemon", async () => {
   site.hostList.faults.down = true;
   const before = await site.fleet.getCounter(
     a1,
     "platform_unread.readHostList",
   );
   await waitUntil(
-    "the list is missed",
+    "the daemon has failed to read the host list",
     async () =>
       await site.fleet.getCounter(a1, "platform_unread.readHostList") > before,
   );
@@ -172,7 +178,7 @@
   site.hostList.faults.down = false;
 });
 
-test("weight store down: resident adapters go on, others are refused", async () => {
+test("weight store down: resident adapters are served, others are refused", async () => {
   await expectServed(a1);
   for (const engine of site.engines.values()) engine.faults.failLoads = 1_000;
   await expectServed(a1);
--- a/test/processes/pause_test.ts
+++ b/test/processes/pause_test.ts
@@ -1,4 +1,8 @@
-/** Daemons that sleep past their leases and wake late, still believing old things. */
+/**
+ * Guards against daemons that are paused (SIGSTOP) until their leases or
+ * ownership have expired and that then act on outdated state: an owner would
+ * evict adapters in use, an entry would dispatch under an expired lease.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { type RunningCall } from "../../scripts/caller.ts";
@@ -11,7 +15,10 @@
 } from "../../scripts/site.ts";
 
 const TOKENS = 60;
-/** Short, so that the old owner's own wait for its predecessors is over. */
+/**
+ * Short, so that the old owner no longer has to wait for leases of its own
+ * predecessors.
+ */
 const MAX_RUN_MS = 3_000;
 const test = suite("pause");
 let site: Site | undefined;
@@ -47,78 +54,85 @@
 }
 
 /**
- * An owner sleeps with a load due as soon as a slot is free. Its successor
- * serves that load and then other adapters, of which the old owner has never
- * heard; they are in use when it wakes, cut off from its peers.
+ * Pauses an owner that has a load waiting for a free adapter slot. Its
+ * successor carries out that load and then loads other adapters, unknown to the
+ * old owner. These are in use when the old owner continues, partitioned from
+ * its peers.
  */
 async function pauseOwner(fencing: "checked" | "ignored"): Promise<void> {
-  const current = await startSite(fencing);
-  const { fleet } = current;
-  const owner = await current.getOwner("engine-hobart-a-1");
-  const [first = "", second = ""] = current.daemonIds.filter((id) =>
+  const startedSite = await startSite(fencing);
+  const { fleet } = startedSite;
+  const owner = await startedSite.getOwner("engine-hobart-a-1");
+  const [first = "", second = ""] = startedSite.daemonIds.filter((id) =>
     id !== owner
   );
-  const held = await current.startStreams(first, ["adapter-0", "adapter-1"]);
-  const waiting = current.startCall(second, "adapter-2");
+  const streams = await startedSite.startStreams(first, [
+    "adapter-0",
+    "adapter-1",
+  ]);
+  const waitingCall = startedSite.startCall(second, "adapter-2");
   await waitUntil("the owner queues the third adapter", async () => {
     const { upstreams } = await fleet.getStatus(owner);
     return upstreams.some((upstream) => upstream.waiting > 0);
   });
   await fleet.cut(owner, { peers: [first, second] });
   fleet.signal(owner, "SIGSTOP");
-  await current.waitUntilOwned([first, second]);
-  await expectExact([...held, waiting], [
+  await startedSite.waitUntilOwned([first, second]);
+  await expectExact([...streams, waitingCall], [
     "adapter-0",
     "adapter-1",
     "adapter-2",
   ]);
-  const running = await current.startStreams(first, ["adapter-4", "adapter-5"]);
+  const running = await startedSite.startStreams(first, [
+    "adapter-4",
+    "adapter-5",
+  ]);
   fleet.signal(owner, "SIGCONT");
   await waitUntil(
-    "the old owner notices its pause",
+    "the old owner detects its pause",
     async () => await fleet.getCounter(owner, "pause_detected") > 0,
   );
   await expectExact(running, ["adapter-4", "adapter-5"]);
-  assert.is(current.countEvictionsInUse(), 0);
+  assert.is(startedSite.countEvictionsInUse(), 0);
   await fleet.cut(owner, {});
-  await expectExact([current.startCall(owner, "adapter-6")], ["adapter-6"]);
-  assert.is(current.countEvictionsInUse(), 0);
+  await expectExact([startedSite.startCall(owner, "adapter-6")], ["adapter-6"]);
+  assert.is(startedSite.countEvictionsInUse(), 0);
 }
 
-test("an owner that wakes late evicts nothing in use, fencing checked", async () => {
+test("an owner paused past its ownership evicts no adapter in use, fencing checked", async () => {
   await pauseOwner("checked");
 });
 
-test("an owner that wakes late evicts nothing in use, fencing ignored", async () => {
+test("an owner paused past its ownership evicts no adapter in use, fencing ignored", async () => {
   await pauseOwner("ignored");
 });
 
-test("an entry that wakes late dispatches nothing under its old lease", async () => {
-  const current = await startSite("checked", { leaseIdleMs: 60_000 });
-  const { fleet } = current;
-  const owner = await current.getOwner("engine-hobart-a-1");
-  const [entry = "", other = ""] = current.daemonIds.filter((id) =>
+test("an entry paused past its lease dispatches nothing under it", async () => {
+  const startedSite = await startSite("checked", { leaseIdleMs: 60_000 });
+  const { fleet } = startedSite;
+  const owner = await startedSite.getOwner("engine-hobart-a-1");
+  const [entry = "", other = ""] = startedSite.daemonIds.filter((id) =>
     id !== owner
   );
-  const engine = current.getEngine();
+  const engine = startedSite.getEngine();
   engine.options.tokens = 2;
-  await current.call(entry, "adapter-0");
+  await startedSite.call(entry, "adapter-0");
   engine.options.tokens = TOKENS;
-  // The entry still holds its credit when it falls asleep, and is called while it sleeps.
+  // The entry holds a credit when it is paused, and gets a call while paused.
   fleet.signal(entry, "SIGSTOP");
-  const late = current.startCall(entry, "adapter-0");
+  const lateCall = startedSite.startCall(entry, "adapter-0");
   const others = ["adapter-1", "adapter-2"];
-  const running = await current.startStreams(other, others);
+  const running = await startedSite.startStreams(other, others);
   const residents = engine.getResidents().sort();
   assert.equal(residents, others.map((id) => `${id}@v1`));
   fleet.signal(entry, "SIGCONT");
   await waitUntil(
-    "the entry notices its pause",
+    "the entry detects its pause",
     async () => await fleet.getCounter(entry, "pause_detected") > 0,
   );
-  await expectExact([...running, late], [...others, "adapter-0"]);
+  await expectExact([...running, lateCall], [...others, "adapter-0"]);
   assert.is(await fleet.getCounter(entry, "retried.refusedByUpstream"), 0);
-  assert.is(current.countEvictionsInUse(), 0);
+  assert.is(startedSite.countEvictionsInUse(), 0);
 });
 
 test.run();
--- a/test/processes/resume_test.ts
+++ b/test/processes/resume_test.ts
@@ -1,4 +1,8 @@
-/** Streams whose connection is cut are resumed whole or reported as broken; a slow reader holds back itself alone. */
+/**
+ * Guards against lost, repeated or partial events when the connection between
+ * daemon and engine fails during a stream, and against a slow reader that
+ * delays other callers or loses tokens itself.
+ */
 import { request } from "node:http";
 import type { IncomingMessage } from "node:http";
 import { suite } from "uvu";
@@ -9,9 +13,9 @@
 import { Outcome, RefusalReason } from "../../src/core/outcomes.ts";
 
 const TOKENS = 40;
-/** Together more than the buffers of the kernel hold on both connections. */
+/** With the padding, more than the kernel buffers of both connections hold. */
 const LONG_TOKENS = 120;
-/** Far more than the test takes, on however busy a machine. */
+/** Far longer than the test takes, also on a busy machine. */
 const MAX_RUN_MS = 120_000;
 const RESUME_WINDOW_MS = 20_000;
 const PADDING_BYTES = 1_000_000;
@@ -36,10 +40,10 @@
   return await site.fleet.getCounter(entry, `stream_resumed.${outcome}`);
 }
 
-test("a stream that is cut again and again comes whole, no token twice", async () => {
+test("a stream whose connection fails repeatedly is delivered completely, with no token twice", async () => {
   const engine = site.getEngine();
   engine.faults.dropConnectionsAfter = [0, 1, 7, 20, 39];
-  const runs = engine.history.length;
+  const runsBefore = engine.history.length;
   const answers = await Promise.all(
     ["adapter-0", "adapter-0", "adapter-1"].map((model) =>
       site.call(entry, model)
@@ -52,13 +56,17 @@
       describeAnswer(answer),
     );
   }
-  assert.is(engine.history.length, runs + answers.length, "nothing ran twice");
+  assert.is(
+    engine.history.length,
+    runsBefore + answers.length,
+    "no request ran twice",
+  );
   assert.ok(engine.droppedConnections >= answers.length);
   assert.is(await countResumes("resumed"), engine.droppedConnections);
   engine.faults.dropConnectionsAfter = [];
 });
 
-test("a stream that the engine no longer has is broken off after whole events", async () => {
+test("a stream that the engine cannot resume ends with an error after a complete event", async () => {
   const engine = site.getEngine();
   engine.faults.dropConnectionsAfter = [10];
   engine.faults.cutAfterTokens = 11;
@@ -75,7 +83,7 @@
   engine.faults.cutAfterTokens = 0;
 });
 
-test("a slow reader holds back its own upstream connection and no other", async () => {
+test("a slow reader applies back-pressure to its own upstream connection only", async () => {
   const engine = site.getEngine();
   engine.tokenPadding = "x".repeat(PADDING_BYTES);
   engine.options.tokens = LONG_TOKENS;
@@ -103,12 +111,12 @@
     isExactAnswer(answer, "adapter-1@v1", TOKENS),
     describeAnswer(answer),
   );
-  await waitUntil("the engine has sent what it can", () =>
+  await waitUntil("the engine has completed all runs", () =>
     Promise.resolve(
       engine.history.every(({ ended }) => ended !== "running"),
     ));
   const { execution } = await site.fleet.getStatus(entry);
-  assert.is(execution.attempts, 1, "only the slow stream goes on");
+  assert.is(execution.attempts, 1, "only the slow stream is still in progress");
   let text = "";
   for await (const chunk of slow) text += String(chunk).replace(/x{2,}/g, "");
   const expected = Array.from(
--- a/test/processes/shutdown_test.ts
+++ b/test/processes/shutdown_test.ts
@@ -1,4 +1,7 @@
-/** Planned stops: no request in progress is cut off, and ownership is handed over. */
+/**
+ * Guards against planned stops that interrupt requests in progress or leave
+ * upstreams without an owner that may evict.
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
@@ -7,11 +10,14 @@
 import { describeAnswer, isExactAnswer, Site } from "../../scripts/site.ts";
 
 const TOKENS = 60;
-/** Longer than a stop takes, so that only a handover lets the next owner evict at its end. */
+/**
+ * Longer than a stop takes: without a handover the successor would still have
+ * to wait for leases of the earlier owner before it may evict.
+ */
 const MAX_RUN_MS = 6_000;
 const ENGINE = "engine-hobart-a-1";
-/** Time for which a caller that was turned away waits. */
-const BACKOFF_MS = 50;
+/** Delay before a caller sends the next call after a refusal or a failure. */
+const RETRY_DELAY_MS = 50;
 const test = suite("shutdown");
 let site: Site;
 
@@ -26,17 +32,20 @@
 
 test.after.each(async () => await site.stop());
 
-/** Returns how long an owner has to wait for leases of earlier owners. */
+/**
+ * Returns how long an owner still has to wait for leases of earlier owners
+ * before it may evict.
+ */
 async function getEvictionWaitMs(id: string): Promise<number | undefined> {
   const { upstreams } = await site.fleet.getStatus(id);
   return upstreams.find(({ upstreamId }) => upstreamId === ENGINE)
     ?.evictionAllowedInMs;
 }
 
-test("SIGTERM under load cuts off nothing and hands over what is owned", async () => {
+test("SIGTERM under load interrupts no request and hands over ownership", async () => {
   const owner = await site.getOwner(ENGINE);
   await waitUntil(
-    "the first owner may evict itself",
+    "the first owner may evict",
     async () => await getEvictionWaitMs(owner) === 0,
   );
   const [first = ""] = site.daemonIds.filter((id) => id !== owner);
@@ -63,9 +72,13 @@
   assert.is(site.countOrders(1), 1);
   assert.is(await site.fleet.waitForExit(owner), 0);
   assert.is(site.countEvictionsInUse(), 0);
-  const rest = site.daemonIds.filter((id) => id !== owner);
-  const next = await site.findOwner(ENGINE, rest) ?? "";
-  assert.is(await getEvictionWaitMs(next), 0, "it may evict at once");
+  const remaining = site.daemonIds.filter((id) => id !== owner);
+  const successor = await site.findOwner(ENGINE, remaining) ?? "";
+  assert.is(
+    await getEvictionWaitMs(successor),
+    0,
+    "the successor may evict immediately",
+  );
   const answer = await site.call(first, "adapter-3");
   assert.ok(
     isExactAnswer(answer, "adapter-3@v1", TOKENS),
@@ -73,17 +86,17 @@
   );
 });
 
-test("a rolling restart under load cuts off nothing", async () => {
-  let isLoaded = true;
+test("a rolling restart under load interrupts no request", async () => {
+  let isSending = true;
   const answers: { adapter: string; name: string; answer: CallerAnswer }[] = [];
   const callers = Array.from({ length: 6 }, async (_, index) => {
-    for (let turn = 0; isLoaded; turn += 1) {
-      const adapter = `adapter-${(index + turn) % 3}`;
-      const daemon = site.daemonIds[(index + turn) % 3] ?? "";
-      const name = `call ${index}-${turn}.`;
+    for (let round = 0; isSending; round += 1) {
+      const adapter = `adapter-${(index + round) % 3}`;
+      const daemon = site.daemonIds[(index + round) % 3] ?? "";
+      const name = `call ${index}-${round}.`;
       const answer = await site.call(daemon, adapter, name);
       answers.push({ adapter, name, answer });
-      if (!answer.isWhole || answer.refusal) await sleep(BACKOFF_MS);
+      if (!answer.isWhole || answer.refusal) await sleep(RETRY_DELAY_MS);
     }
   });
   for (const id of site.daemonIds) {
@@ -92,23 +105,24 @@
     await site.fleet.startDaemon(id);
     await site.fleet.waitUntilServing([id]);
   }
-  isLoaded = false;
+  isSending = false;
   await Promise.all(callers);
-  const whole = answers.filter(({ adapter, answer }) =>
+  const complete = answers.filter(({ adapter, answer }) =>
     isExactAnswer(answer, `${adapter}@v1`, TOKENS)
   );
-  // A balancer turns away from a stopping daemon; these callers do not.
+  // A load balancer would stop sending to a stopping daemon; these callers do
+  // not, so refused calls that never ran are allowed.
   const { history } = site.getEngine();
-  const turnedAway = answers.filter(({ name, answer }) =>
+  const rejected = answers.filter(({ name, answer }) =>
     (answer.status === NO_ANSWER_STATUS ||
       answer.refusal?.outcome === "notRun") &&
     !history.some(({ body }) => body.includes(name))
   );
-  const rest = answers.filter((entry) =>
-    !whole.includes(entry) && !turnedAway.includes(entry)
+  const unexpected = answers.filter((entry) =>
+    !complete.includes(entry) && !rejected.includes(entry)
   );
-  assert.equal(rest.map(({ answer }) => describeAnswer(answer)), []);
-  assert.ok(whole.length >= 6, `${whole.length} whole answers`);
+  assert.equal(unexpected.map(({ answer }) => describeAnswer(answer)), []);
+  assert.ok(complete.length >= 6, `${complete.length} complete answers`);
   assert.is(site.countEvictionsInUse(), 0);
 });
 
--- a/test/processes/ticket_test.ts
+++ b/test/processes/ticket_test.ts
@@ -1,11 +1,18 @@
-/** Non-idempotent requests run at most once: through two daemons, across a partition, and after the ticket's home is gone. */
+/**
+ * Guards against running a non-idempotent request twice when its ticket is sent
+ * to several daemons, across a network partition, or after the daemon that
+ * issued the ticket has been killed.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { Outcome, RefusalReason } from "../../src/core/outcomes.ts";
 import { waitUntil } from "../../scripts/fleet.ts";
 import { describeAnswer, Site } from "../../scripts/site.ts";
 
-/** Time after which a home in another domain that does not answer is given up. */
+/**
+ * Time after which a ticket issuer in another failure domain that does not
+ * answer counts as unreachable.
+ */
 const QUEUE_DEADLINE_MS = 3_000;
 const test = suite("ticket");
 let site: Site;
@@ -30,7 +37,7 @@
 
 async function waitUntilPeersLive(): Promise<void> {
   for (const id of site.daemonIds) {
-    await waitUntil(`${id} hears its peers`, async () => {
+    await waitUntil(`${id} considers its peers alive`, async () => {
       const { failureDomain, peers } = await site.fleet.getStatus(id);
       return peers.every((peer) =>
         peer.live || peer.failureDomain !== failureDomain
@@ -39,8 +46,8 @@
   }
 }
 
-async function waitUntilLost(id: string, peer: string): Promise<void> {
-  await waitUntil(`${id} misses ${peer}`, async () => {
+async function waitUntilPeerDead(id: string, peer: string): Promise<void> {
+  await waitUntil(`${id} no longer considers ${peer} alive`, async () => {
     const { peers } = await site.fleet.getStatus(id);
     return peers.some((entry) => entry.id === peer && !entry.live);
   });
@@ -65,25 +72,29 @@
       assert.is(refusal?.reason, RefusalReason.TicketInProgress);
       assert.is(refusal?.outcome, Outcome.MayHaveRun);
     }
-    const again = await site.order(b1, pen, ticket);
-    assert.is(again.status, 200);
-    assert.is(again.headers.get("idempotent-replayed"), "true");
-    assert.is(again.text, first[0]?.text);
+    const replayed = await site.order(b1, pen, ticket);
+    assert.is(replayed.status, 200);
+    assert.is(replayed.headers.get("idempotent-replayed"), "true");
+    assert.is(replayed.text, first[0]?.text);
     assert.is(site.countOrders(pen), 1);
   }
 });
 
-test("a ticket runs once across a partition, and the cut-off side says so", async () => {
+test("a ticket runs once during a partition, and the side without the issuer refuses it", async () => {
   const ticket = await site.getTicket(a1, 200);
   await site.fleet.cut(b1, { peers: [a1, a2] });
-  await waitUntilLost(b1, a1);
-  const cutOff = await site.order(b1, 200, ticket);
-  assert.is(cutOff.refusal?.reason, RefusalReason.TicketHomeUnreachable);
-  assert.is(cutOff.refusal?.outcome, Outcome.MayHaveRun);
-  const here = await site.order(a2, 200, ticket);
-  assert.is(here.status, 200, describeAnswer(here));
+  await waitUntilPeerDead(b1, a1);
+  const partitioned = await site.order(b1, 200, ticket);
+  assert.is(partitioned.refusal?.reason, RefusalReason.TicketHomeUnreachable);
+  assert.is(partitioned.refusal?.outcome, Outcome.MayHaveRun);
+  const localAnswer = await site.order(a2, 200, ticket);
+  assert.is(localAnswer.status, 200, describeAnswer(localAnswer));
   const fresh = await site.order(b1, 201);
-  assert.is(fresh.status, 200, "new tickets go on in a cut-off domain");
+  assert.is(
+    fresh.status,
+    200,
+    "a partitioned failure domain still serves under new tickets",
+  );
   await site.fleet.cut(b1, {});
   await waitUntilPeersLive();
   const healed = await site.order(b1, 200, ticket);
@@ -92,19 +103,19 @@
   assert.is(site.countOrders(201), 1);
 });
 
-test("a claim whose home is cut off in the midst of the run is never run again", async () => {
+test("a run whose ticket issuer becomes unreachable is never repeated", async () => {
   for (const service of site.services.values()) service.faults.runTimeMs = 500;
   const ticket = await site.getTicket(a1, 210);
   const running = site.order(b1, 210, ticket);
   await waitUntil(
-    "the order runs",
+    "the request runs",
     () => Promise.resolve(site.countOrders(210) === 1),
   );
   await site.fleet.cut(b1, { peers: [a1, a2] });
   assert.is((await running).status, 200);
-  const here = await site.order(a1, 210, ticket);
-  assert.is(here.refusal?.reason, RefusalReason.TicketInProgress);
-  assert.is(here.refusal?.outcome, Outcome.MayHaveRun);
+  const localAnswer = await site.order(a1, 210, ticket);
+  assert.is(localAnswer.refusal?.reason, RefusalReason.TicketInProgress);
+  assert.is(localAnswer.refusal?.outcome, Outcome.MayHaveRun);
   await site.fleet.cut(b1, {});
   await waitUntilPeersLive();
   await waitUntil("the claim is settled", async () => {
@@ -114,14 +125,16 @@
   assert.is(site.countOrders(210), 1);
 });
 
-test("after its home was killed and restarted a ticket never runs again", async () => {
-  const spent = await site.getTicket(a1, 300);
-  assert.is((await site.order(a2, 300, spent)).status, 200);
-  const unused = await site.getTicket(a1, 301);
+test("a ticket never runs after its issuer was killed and restarted", async () => {
+  const spentTicket = await site.getTicket(a1, 300);
+  assert.is((await site.order(a2, 300, spentTicket)).status, 200);
+  const unusedTicket = await site.getTicket(a1, 301);
   site.fleet.signal(a1, "SIGKILL");
   await site.fleet.waitForExit(a1);
-  await waitUntilLost(a2, a1);
-  for (const [pen, ticket] of [[300, spent], [301, unused]] as const) {
+  await waitUntilPeerDead(a2, a1);
+  for (
+    const [pen, ticket] of [[300, spentTicket], [301, unusedTicket]] as const
+  ) {
     const answer = await site.order(a2, pen, ticket);
     assert.is(answer.refusal?.reason, RefusalReason.TicketHomeUnreachable);
     assert.is(answer.refusal?.outcome, Outcome.MayHaveRun);
@@ -129,7 +142,9 @@
   await site.fleet.startDaemon(a1);
   await site.fleet.waitUntilServing([a1]);
   await waitUntilPeersLive();
-  for (const [pen, ticket] of [[300, spent], [301, unused]] as const) {
+  for (
+    const [pen, ticket] of [[300, spentTicket], [301, unusedTicket]] as const
+  ) {
     for (const id of site.daemonIds) {
       const answer = await site.order(id, pen, ticket);
       assert.is(answer.refusal?.reason, RefusalReason.TicketExpired);
@@ -141,19 +156,19 @@
   assert.is((await site.order(a2, 302)).status, 200);
 });
 
-test("a run whose answer was cut is reported as one that may have run", async () => {
+test("a run whose answer was lost is reported as one that may have run", async () => {
   for (const service of site.services.values()) service.faults.cutAnswers = 1;
   const ticket = await site.getTicket(a1, 400);
   const answer = await site.order(a1, 400, ticket);
   assert.is(answer.refusal?.reason, RefusalReason.UpstreamLost);
   assert.is(answer.refusal?.outcome, Outcome.MayHaveRun);
   for (const service of site.services.values()) service.faults.cutAnswers = 0;
-  const again = await site.order(b1, 400, ticket);
-  assert.is(again.refusal?.outcome, Outcome.MayHaveRun);
+  const retried = await site.order(b1, 400, ticket);
+  assert.is(retried.refusal?.outcome, Outcome.MayHaveRun);
   assert.is(site.countOrders(400), 1);
 });
 
-test("an order that no upstream started may be sent again under its ticket", async () => {
+test("a request that no upstream started can be retried under its ticket", async () => {
   for (const service of site.services.values()) service.faults.refuseRuns = 9;
   const ticket = await site.getTicket(a1, 410);
   const refused = await site.order(a1, 410, ticket);
--- a/test/processes/upstream_faults_test.ts
+++ b/test/processes/upstream_faults_test.ts
@@ -1,4 +1,8 @@
-/** Faults of upstreams: engines that restart empty, loads that fail, answers that are late, crossed or cut, upstreams that leave. */
+/**
+ * Guards against callers receiving wrong, incomplete or no answers when
+ * upstreams fail: engines restart and lose their adapters, loads fail, answers
+ * are late, belong to another adapter or end early, and upstreams leave.
+ */
 import { suite } from "uvu";
 import * as assert from "uvu/assert";
 import { readTokens } from "../../scripts/caller.ts";
@@ -9,8 +13,8 @@
 
 const TOKENS = 30;
 const LONG_TOKENS = 100;
-/** Time in which a leaving upstream must be left alone. */
-const LEAVING_LIMIT_MS = 3_000;
+/** Time after which a leaving upstream must get no new runs. */
+const LEAVING_NOTICE_LIMIT_MS = 3_000;
 const test = suite("upstream faults");
 let site: Site;
 let entry = "";
@@ -26,7 +30,7 @@
 
 test.after(async () => await site.stop());
 
-function sumCrashedRuns(): number {
+function countCrashedRuns(): number {
   return [...site.engines.values()].flatMap(({ history }) => history)
     .filter(({ ended }) => ended === "crashed").length;
 }
@@ -39,7 +43,7 @@
   );
 }
 
-test("an engine that restarts empty breaks its streams and serves again", async () => {
+test("an engine that restarts without adapters breaks its streams and then serves again", async () => {
   const engines = [...site.engines.values()];
   for (const engine of engines) engine.options.tokens = LONG_TOKENS;
   const calls = await site.startStreams(entry, [
@@ -53,24 +57,24 @@
     assert.is(answer.refusal?.reason, RefusalReason.UpstreamLost);
     assert.is(answer.refusal?.outcome, Outcome.MayHaveRun);
   }
-  assert.is(sumCrashedRuns(), calls.length);
+  assert.is(countCrashedRuns(), calls.length);
   for (const engine of engines) engine.options.tokens = TOKENS;
   await site.waitUntilOwned(site.daemonIds);
   for (const adapter of ["adapter-0", "adapter-1"]) await expectExact(adapter);
 });
 
-test("a load that fails is tried on another engine, or refused with when to come back", async () => {
+test("a failed load is retried on another engine or refused with Retry-After", async () => {
   const [first, second] = [...site.engines.values()];
   if (!first || !second) throw new Error("Expected two engines");
   first.faults.failLoads = 1;
   second.faults.failLoads = 1;
-  const [one, two] = await Promise.all([
+  const [firstAnswer, secondAnswer] = await Promise.all([
     site.call(entry, "adapter-3"),
     site.call(entry, "adapter-4"),
   ]);
   const failures = 2 - first.faults.failLoads - second.faults.failLoads;
   assert.is.not(failures, 0);
-  for (const [index, answer] of [one, two].entries()) {
+  for (const [index, answer] of [firstAnswer, secondAnswer].entries()) {
     if (answer.refusal === undefined) {
       assert.ok(isExactAnswer(answer, `adapter-${index + 3}@v1`, TOKENS));
       continue;
@@ -93,17 +97,17 @@
   );
 });
 
-test("a crossed answer is dropped and the request answered by another engine", async () => {
+test("an answer of the wrong adapter is dropped and the request retried on another engine", async () => {
   for (const engine of site.engines.values()) engine.faults.crossAnswers = 1;
   const before = await site.fleet.getCounter(entry, "retried.wrongAdapter");
   const answers = await Promise.all(
     [1, 2, 3].map(() => site.call(entry, "adapter-0")),
   );
   for (const answer of answers) {
-    const isRight = isExactAnswer(answer, "adapter-0@v1", TOKENS) ||
+    const isExpected = isExactAnswer(answer, "adapter-0@v1", TOKENS) ||
       answer.refusal?.reason === RefusalReason.WrongAdapter ||
       answer.refusal?.reason === RefusalReason.NoUpstream;
-    assert.ok(isRight, describeAnswer(answer));
+    assert.ok(isExpected, describeAnswer(answer));
   }
   const after = await site.fleet.getCounter(entry, "retried.wrongAdapter");
   assert.ok(after > before);
@@ -111,7 +115,7 @@
   await expectExact("adapter-0");
 });
 
-test("a stream that is cut for good is never ended as if whole", async () => {
+test("a stream that breaks and cannot be resumed is never ended as if complete", async () => {
   for (const engine of site.engines.values()) {
     engine.faults.cutAfterTokens = 5;
   }
@@ -127,7 +131,7 @@
   await expectExact("adapter-0");
 });
 
-test("a run that is too late is cancelled and refused", async () => {
+test("a run that exceeds its maximum run time is cancelled and refused", async () => {
   const revision = await site.fleet.writeTable(
     "routes",
     site.formatRoutes("v1", { maxRunMs: 300 }),
@@ -136,8 +140,11 @@
   const answers = await Promise.all(
     Array.from({ length: 6 }, () => site.call(entry, "adapter-0")),
   );
-  const last = await site.fleet.writeTable("routes", site.formatRoutes("v1"));
-  await site.waitUntilInForce(last);
+  const restoredRevision = await site.fleet.writeTable(
+    "routes",
+    site.formatRoutes("v1"),
+  );
+  await site.waitUntilInForce(restoredRevision);
   for (const { refusal } of answers) {
     assert.is(refusal?.reason, RefusalReason.RunTimeExceeded);
     assert.is(refusal?.outcome, Outcome.MayHaveRun);
@@ -145,19 +152,19 @@
   await expectExact("adapter-0");
 });
 
-test("an engine that says it leaves gets no new work", async () => {
+test("an engine that reports that it is leaving gets no new runs", async () => {
   const [[id = "", engine], [, other]] = [...site.engines] as [
     [string, ReturnType<Site["getEngine"]>],
     [string, ReturnType<Site["getEngine"]>],
   ];
   const running = await site.startStreams(entry, ["adapter-0", "adapter-1"]);
   engine.faults.leaving = true;
-  await expectLeftAlone(id, other.history.length);
+  await expectNoNewRuns(id, other.history.length);
   for (const call of running) assert.ok((await call.answer).isWhole);
   engine.faults.leaving = false;
 });
 
-test("an engine that a lagging host list names as leaving gets no new work", async () => {
+test("an engine that a delayed host list marks as leaving gets no new runs", async () => {
   const [[id = ""], [, other]] = [...site.engines] as [
     [string, unknown],
     [string, ReturnType<Site["getEngine"]>],
@@ -168,27 +175,34 @@
       host.id === id ? { ...host, state: HostState.Leaving } : host
     ),
   );
-  await expectLeftAlone(id, other.history.length);
+  await expectNoNewRuns(id, other.history.length);
   site.hostList.faults.lagMs = 0;
   await site.fleet.writeHosts(site.upstreams);
 });
 
-/** Calls on until the limit, and checks that the leaving engine gets no run after it. */
-async function expectLeftAlone(id: string, othersRuns: number): Promise<void> {
+/**
+ * Sends calls until the time limit and some after it; checks that the leaving
+ * engine gets no run after the limit.
+ */
+async function expectNoNewRuns(
+  id: string,
+  otherEngineRuns: number,
+): Promise<void> {
   const engine = site.getEngine(id);
   const startedAt = performance.now();
   let runsAtLimit: number | undefined;
-  for (let turn = 0; runsAtLimit === undefined || turn < 8; turn += 1) {
-    const isOver = performance.now() - startedAt >= LEAVING_LIMIT_MS;
-    if (isOver) runsAtLimit ??= engine.history.length;
-    const daemon = site.daemonIds[turn % 2] ?? "";
-    const answer = await site.call(daemon, `adapter-${turn % 4}`);
+  for (let round = 0; runsAtLimit === undefined || round < 8; round += 1) {
+    const isPastLimit =
+      performance.now() - startedAt >= LEAVING_NOTICE_LIMIT_MS;
+    if (isPastLimit) runsAtLimit ??= engine.history.length;
+    const daemon = site.daemonIds[round % 2] ?? "";
+    const answer = await site.call(daemon, `adapter-${round % 4}`);
     assert.ok(answer.isWhole, describeAnswer(answer));
   }
   assert.is(engine.history.length, runsAtLimit);
   const runs = [...site.engines.values()]
     .reduce((total, { history }) => total + history.length, 0);
-  assert.ok(runs - engine.history.length > othersRuns);
+  assert.ok(runs - engine.history.length > otherEngineRuns);
 }
 
 test.run();
--- a/test/style/verbs_test.ts
+++ b/test/style/verbs_test.ts
@@ -1,4 +1,7 @@
-/** Every function and method begins with a verb of docs/VERBS.md. */
+/**
+ * Checks that the name of each function and method begins with a verb listed in
+ * docs/VERBS.md.
+ */
 import { existsSync, readdirSync, readFileSync } from "node:fs";
 import { join } from "node:path";
 import { test } from "uvu";
@@ -6,12 +9,13 @@
 
 const FOLDERS = ["src", "platform", "fakes", "bench", "scripts"];
 const GENERATED_FOLDER = "src/protocol/generated";
-const FUNCTION = /^ *(?:export )?(?:default )?(?:async )?function\*? (\w+)/gm;
-const ARROW_FUNCTION =
+const FUNCTION_PATTERN =
+  /^ *(?:export )?(?:default )?(?:async )?function\*? (\w+)/gm;
+const ARROW_FUNCTION_PATTERN =
   /(?:const|let|readonly) #?(\w+) = (?:async )?(?:\([^()]*\)(?:: [^=;]+)?|\w+) =>/g;
-const TYPE_HEAD =
+const TYPE_HEAD_PATTERN =
   /^(?:export )?(?:default )?(?:abstract )?(?:class|interface) /;
-const METHOD =
+const METHOD_PATTERN =
   /^ {2}(?:(?:static|async|override|abstract|protected|public|private) )*\*?#?([a-z]\w*)\??(?:<.*>)?\(/;
 
 const verbs = new Set(
@@ -32,22 +36,22 @@
   const names: string[] = [];
   let isInType = false;
   for (const line of text.split("\n")) {
-    if (TYPE_HEAD.test(line)) isInType = true;
+    if (TYPE_HEAD_PATTERN.test(line)) isInType = true;
     else if (line.startsWith("}")) isInType = false;
-    const name = isInType ? METHOD.exec(line)?.[1] : undefined;
+    const name = isInType ? METHOD_PATTERN.exec(line)?.[1] : undefined;
     if (name !== undefined && name !== "constructor") names.push(name);
   }
   return names;
 }
 
 function listFunctions(text: string): string[] {
-  return [FUNCTION, ARROW_FUNCTION].flatMap((pattern) =>
+  return [FUNCTION_PATTERN, ARROW_FUNCTION_PATTERN].flatMap((pattern) =>
     [...text.matchAll(pattern)].map((match) => match[1] ?? "")
   );
 }
 
 for (const file of FOLDERS.flatMap(listSources)) {
-  test(`${file} names its functions by listed verbs`, () => {
+  test(`function names in ${file} begin with listed verbs`, () => {
     const text = readFileSync(file, "utf8");
     const unlisted = [...listFunctions(text), ...listMethods(text)]
       .filter((name) => !verbs.has(/^[a-z]+/.exec(name)?.[0]));
@@ -55,7 +59,7 @@
   });
 }
 
-test("the check sees functions, arrow functions and methods", () => {
+test("the check finds functions, arrow functions and methods", () => {
   const text = [
     "export async function frobnicate(): void {}",
     "const twiddle = (value: number): number =>",
