--- a/scripts/site.ts
+++ b/scripts/site.ts
@@ -131,7 +131,7 @@
   }
 
   /** Sends a request whose answer is not streamed. */
-  startWholeCall(
+  startUnstreamedCall(
     daemonId: string,
     model: string,
     content = "x",
--- a/test/processes/crash_test.ts
+++ b/test/processes/crash_test.ts
@@ -50,7 +50,7 @@
   sharedBatchCalls = Array.from(
     { length: 8 },
     (_, index) =>
-      site.startWholeCall(
+      site.startUnstreamedCall(
         index % 2 === 0 ? first : second,
         `adapter-${index % 2}`,
         `neighbour ${index}`,
