--- a/src/daemon/metrics.ts
+++ b/src/daemon/metrics.ts
@@ -10,35 +10,39 @@
 /** What each metric counts or measures; docs/OPERATORS.md has the same table. */
 export const METRICS = {
   refused: "Requests refused, by reason",
-  retried: "Requests sent to another upstream or owner, by reason",
-  lease_refused: "Lease requests refused by this daemon as owner, by reason",
-  stray_attempt_end: "Ends of attempts that are not known, by kind",
+  retried: "Requests retried at another upstream or owner, by reason",
+  lease_refused: "Lease requests refused by this daemon, by reason",
+  stray_attempt_end: "Results received for unknown attempts, by kind of result",
   stream_resumed:
-    "Streams whose connection was cut, by whether the engine resumed them",
-  load_failed: "Adapter loads that failed, by upstream",
-  owner_deposed: "Ownerships lost to a higher fencing number, by upstream",
+    "Attempts to resume a stream after its connection broke, by result (resumed, refused)",
+  load_failed: "Failed adapter loads, by upstream",
+  owner_deposed:
+    "Ownerships lost to a claim with a higher fencing number, by upstream",
   foreign_order:
-    "Changes of slots that the owner did not order, by upstream that ignores fencing",
+    "Adapter slot changes that the owner did not order, on engines that ignore fencing, by upstream",
   members:
-    "Changes in what is thought of a peer's life: suspect, dead, refuted",
-  pause_detected: "Pauses of the process that were detected",
-  connection_dropped: "Callers' connections beyond the bound",
+    "Members marked suspect or dead, and false reports about this daemon refuted, by event (suspect, dead, refuted)",
+  pause_detected: "Process pauses detected",
+  connection_dropped:
+    "Caller connections dropped because callers.maxConnections was reached",
   connection_malformed:
-    "Callers' connections closed for what they sent, by the HTTP parser's code",
-  envelope_malformed: "Envelopes from peers that could not be decoded",
-  envelope_undelivered: "Envelopes that a peer did not take in time",
-  tables: "Revisions of the tables offered, by what became of them",
-  host_list: "Revisions of the host list offered, by what became of them",
-  platform_unread: "Readings of the platform that failed, by step",
-  lease_wait: "Time from acceptance to dispatch without a load, in ms",
+    "Caller connections closed after a connection or HTTP parse error, by error code",
+  envelope_malformed: "Envelopes received from peers that could not be decoded",
+  envelope_undelivered: "Envelope streams to peers that failed",
+  tables: "Table revisions received, by result",
+  host_list: "Host list revisions received, by result",
+  platform_unread: "Failed reads from the platform, by step",
+  lease_wait:
+    "Time from acceptance to first dispatch of requests that did not wait for an adapter load, in ms",
   load_stall:
-    "Time from acceptance to dispatch of requests that waited for a load, in ms",
-  first_token: "Time from acceptance to the first byte of the answer, in ms",
-  requests: "Requests that the daemon holds",
-  slots_resident: "Adapters resident on owned upstreams",
-  leases: "Leases granted and not over",
-  queue: "Lease requests that wait",
-  batch_fill: "Credits in use as a share of the batch sizes of owned upstreams",
+    "Time from acceptance to first dispatch of requests that waited for an adapter load, in ms",
+  first_token: "Time from acceptance to the start of the response, in ms",
+  requests: "Requests in progress, waiting or running",
+  slots_resident: "Adapter slots in use on owned upstreams",
+  leases: "Active leases on owned upstreams",
+  queue: "Lease requests queued for owned upstreams",
+  batch_fill:
+    "Credits in use on owned upstreams, as a fraction of their batch capacity",
 } as const;
 
 export interface MetricsSnapshot {
--- a/src/gateway/gateway_metrics.ts
+++ b/src/gateway/gateway_metrics.ts
@@ -24,33 +24,42 @@
 
 /** Help text of each metric; docs/OPERATIONS.md contains the same table. */
 export const GATEWAY_METRICS = {
-  requests: "Callers' requests on known routes, by kind",
-  attempts: "Attempts at upstreams, by outcome",
-  repeats: "Requests sent to another upstream, by the outcome before",
-  refusals: "Requests refused as not run, by reason",
-  failures: "Requests that may have run and failed, by outcome",
-  callers_gone: "Callers that left before their whole answer, by kind",
+  requests:
+    "Requests accepted for a known route, by kind (idempotent, nonIdempotent, stream)",
+  attempts: "Finished attempts at upstreams, by outcome",
+  repeats: "Requests retried, by outcome of the previous attempt",
+  refusals: "Requests refused without having run, by reason",
+  failures:
+    "Failed requests that may have run, by outcome of the last attempt or by reason",
+  callers_gone:
+    "Requests whose caller disconnected before the response was complete, by kind (idempotent, nonIdempotent, stream)",
   callers_backlogged:
-    "Streams that waited for a slow caller to read on, by kind",
+    "Times a streamed response was paused because its caller read too slowly, by kind (always stream)",
   upstream_notices:
-    "Answers in which an upstream says that it leaves or backs off",
-  order_load: "Loads ordered, by how the engine answered",
-  order_evict: "Evictions ordered, by how the engine answered",
-  holder_belief: "Changes of what is believed of an engine, by change",
-  store_failure: "Readings of the store that failed, by set",
-  peer_view_failure: "Readings of a peer's view that failed, by set",
-  peer_messages_dropped: "Datagrams of peers that were dropped, by reason",
-  pauses: "Pauses of the process that were noticed",
-  first_byte: "Time from arrival to the first byte of a stream, in ms, by kind",
-  whole_answer: "Time from arrival to the whole answer, in ms, by kind",
-  internal_errors: "Errors that no handler expected, by step",
-  living_daemons: "Gateways that live as far as is known",
-  upstreams: "Upstreams registered",
-  requests_in_flight: "Callers' requests in progress",
+    "Leaving and backoff notices in upstream responses, by notice (leaving, backoff)",
+  order_load: "Load orders to engines, by result",
+  order_evict: "Eviction orders to engines, by result",
+  holder_belief:
+    "Changes in the ownership or order state of an engine, by change",
+  store_failure:
+    "Failed reads from the store, by set (configuration, upstreams)",
+  peer_view_failure:
+    "Failed reads of a peer's view, by set (configuration, upstreams)",
+  peer_messages_dropped: "Datagrams from peers that were dropped, by reason",
+  pauses: "Process pauses detected, by detector (process, holder)",
+  first_byte:
+    "Time from arrival to the first byte of a streamed response, in ms, by kind (always stream)",
+  whole_answer:
+    "Time from arrival to the complete response, in ms, by kind (idempotent, nonIdempotent, stream)",
+  internal_errors: "Unhandled errors, by step",
+  living_daemons: "Gateways known to be alive, including this one",
+  upstreams: "Registered upstreams",
+  requests_in_flight: "Requests in progress",
   full_speed_fetches:
-    "Loads from the weight store that go at full speed together, as estimated",
-  held_engines: "Engines whose orders this gateway gives",
-  configuration_version: "Version of the configuration in force",
+    "Estimated number of concurrent adapter fetches that the weight store serves at full speed",
+  held_engines: "Engines owned by this gateway",
+  configuration_version:
+    "Version of the active configuration; 0 if there is none",
 } as const;
 export type GatewayMetric = keyof typeof GATEWAY_METRICS;
 
