--- a/bench/tickets_command.ts
+++ b/bench/tickets_command.ts
@@ -75,7 +75,7 @@
   cases.push(
     await measure(site, "new, in a partition", await mintTickets(bench), 0),
   );
-  for (const id of site.daemonIds) await site.fleet.cut(id, {});
+  for (const id of site.daemonIds) await site.fleet.block(id, {});
   await waitUntilPeersLive(site);
   cases.push(await measure(site, "unused, partition healed", cutUnused));
 
@@ -162,7 +162,7 @@
   await Promise.all(tickets.map(async ({ home, pen, ticket }) => {
     const index = Math.max(0, through.indexOf(home)) + distance;
     const daemon = through[index % through.length] ?? "";
-    const answer = await site.order(daemon, pen, ticket);
+    const answer = await site.sendFeedOrder(daemon, pen, ticket);
     const isReplayed = answer.headers.get("idempotent-replayed") === "true";
     const kind = answer.refusal
       ? `${answer.refusal.reason}/${answer.refusal.outcome}`
@@ -171,7 +171,7 @@
       : "ran";
     answers[kind] = (answers[kind] ?? 0) + 1;
   }));
-  const ranTwice = tickets.filter(({ pen }) => site.countOrders(pen) > 1);
+  const ranTwice = tickets.filter(({ pen }) => site.countFeedOrders(pen) > 1);
   return { name, calls: tickets.length, answers, ranTwice: ranTwice.length };
 }
 
@@ -180,8 +180,8 @@
   left: readonly string[],
   right: readonly string[],
 ): Promise<void> {
-  for (const id of left) await site.fleet.cut(id, { peers: [...right] });
-  for (const id of right) await site.fleet.cut(id, { peers: [...left] });
+  for (const id of left) await site.fleet.block(id, { peers: [...right] });
+  for (const id of right) await site.fleet.block(id, { peers: [...left] });
   for (const peer of [...left, ...right]) {
     const side = left.includes(peer) ? right : left;
     for (const id of side) await waitUntilSilent(site, id, peer);
--- a/fakes/fake_platform_replica.ts
+++ b/fakes/fake_platform_replica.ts
@@ -44,14 +44,14 @@
   | EndlessPart;
 
 /** A request that the replica did not refuse, for the assertions of tests. */
-export interface SeenRequest {
+export interface ReceivedRequest {
   id: string;
   method: string;
   url: string;
   headers: IncomingMessage["headers"];
   body: string;
   /** Whether the connection closed before the answer was complete. */
-  wasCut: boolean;
+  wasAborted: boolean;
 }
 
 /** A load or eviction order with the status that answered it. */
@@ -68,20 +68,20 @@
 }
 
 /** Number of events in a stream; each event has its number as id. */
-export const STREAM_EVENTS = 4;
+export const STREAM_EVENT_COUNT = 4;
 const LOAD_TIME_MS = 30;
 const SLOW_ANSWER_DELAY_MS = 700;
 
 export class FakePlatformReplica {
   readonly id: string;
   readonly isEngine: boolean;
-  readonly seen: SeenRequest[] = [];
-  readonly orders: ReceivedOrder[] = [];
+  readonly receivedRequests: ReceivedRequest[] = [];
+  readonly receivedOrders: ReceivedOrder[] = [];
   readonly adapters = new Map<string, { version: number; readyAt: number }>();
   models = ["m"];
   failureDomain = "zone-a";
   /** Number of times the report was read. */
-  reportsRead = 0;
+  reportReadCount = 0;
   sequence = 0;
   born = 1_000;
   newestVersion = 1;
@@ -96,9 +96,9 @@
    */
   retryAfterS: number | undefined;
   /** Number of requests refused by `shed`. */
-  refused = 0;
+  refusalCount = 0;
   /** Records of the endless answers sent. */
-  readonly endless: EndlessAnswerRecord[] = [];
+  readonly endlessAnswers: EndlessAnswerRecord[] = [];
   /** Behaviours of the upcoming requests, one per request; then `answer`. */
   behaviours: ReplicaBehaviour[] = [];
   readonly #server: Server = createServer((request, response) =>
@@ -179,7 +179,7 @@
   }
 
   #report(response: ServerResponse): void {
-    this.reportsRead += 1;
+    this.reportReadCount += 1;
     const coming = [...this.adapters]
       .filter(([, { readyAt }]) => readyAt > Date.now())
       .map(([name, { version }]) => `m/${name}@${version}`);
@@ -198,7 +198,7 @@
   #order(body: string, response: ServerResponse): void {
     const order = JSON.parse(body);
     const status = this.#applyOrder(order);
-    this.orders.push({ ...order, status, at: Date.now() });
+    this.receivedOrders.push({ ...order, status, at: Date.now() });
     response.writeHead(status).end();
   }
 
@@ -242,30 +242,30 @@
     }
     const behaviour = this.behaviours.shift() ?? "answer";
     if (behaviour === "shed") {
-      this.refused += 1;
+      this.refusalCount += 1;
       const retryAfter = this.retryAfterS === undefined
         ? {}
         : { "Retry-After": String(this.retryAfterS) };
       response.writeHead(503, { "X-Not-Run": "1", ...retryAfter }).end();
       return;
     }
-    const seen: SeenRequest = {
+    const seen: ReceivedRequest = {
       id,
       method: request.method ?? "",
       url: request.url ?? "",
       headers,
       body,
-      wasCut: false,
+      wasAborted: false,
     };
-    this.seen.push(seen);
-    response.once("close", () => seen.wasCut = !response.writableFinished);
+    this.receivedRequests.push(seen);
+    response.once("close", () => seen.wasAborted = !response.writableFinished);
     const identity = {
       "X-Request-Id": id,
       "X-Response-Stamp": `by-${this.id}`,
     };
     if (isEndless(behaviour)) {
       if (!response.socket) return;
-      this.endless.push(
+      this.endlessAnswers.push(
         sendEndlessAnswer(response.socket, behaviour, identity),
       );
       return;
@@ -310,7 +310,7 @@
       }
       response.write(`id: ${nextEvent}\ndata: piece ${nextEvent}\n\n`);
       nextEvent += 1;
-      if (nextEvent > STREAM_EVENTS) {
+      if (nextEvent > STREAM_EVENT_COUNT) {
         clearInterval(timer);
         response.end();
       }
--- a/scripts/fleet.ts
+++ b/scripts/fleet.ts
@@ -188,7 +188,7 @@
    * Simulates a network partition: the daemon exchanges nothing with the given
    * parties until the next call.
    */
-  async cut(
+  async block(
     id: string,
     cut: { peers?: string[]; upstreams?: string[]; platform?: boolean },
   ): Promise<void> {
--- a/scripts/site.ts
+++ b/scripts/site.ts
@@ -167,7 +167,7 @@
   /**
    * Sends a non-idempotent request under the given ticket, or under a new one.
    */
-  async order(
+  async sendFeedOrder(
     daemonId: string,
     pen: number,
     ticket?: string,
@@ -178,7 +178,7 @@
   }
 
   /** Counts how often the request of this pen ran on any service. */
-  countOrders(pen: number): number {
+  countFeedOrders(pen: number): number {
     const body = JSON.stringify({ pen });
     return [...this.services.values()].flatMap((service) => service.ran)
       .filter((ran) => ran === body).length;
--- a/test/gateway/answers_test.ts
+++ b/test/gateway/answers_test.ts
@@ -7,7 +7,7 @@
 import {
   type FakePlatformReplica,
   type ReplicaBehaviour,
-  STREAM_EVENTS,
+  STREAM_EVENT_COUNT,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
 import { GatewayHarness } from "./gateway_harness.ts";
@@ -84,8 +84,8 @@
   assert.is(answer.status, 200);
   assert.ok(answer.isComplete);
   const events = answer.body.match(/data: piece \d/g) ?? [];
-  assert.is(events.length, STREAM_EVENTS);
-  const orders = harness.engines.flatMap((engine) => engine.orders);
+  assert.is(events.length, STREAM_EVENT_COUNT);
+  const orders = harness.engines.flatMap((engine) => engine.receivedOrders);
   assert.ok(orders.some((order) => order.adapter === "a1"));
 });
 
@@ -107,7 +107,9 @@
     number
   );
   assert.equal(ids, ["1", "2", "3", "4"]);
-  const resumedAfter = harness.engines.flatMap((engine) => engine.seen)
+  const resumedAfter = harness.engines.flatMap((engine) =>
+    engine.receivedRequests
+  )
     .filter((seen) => seen.id === id)
     .map((seen) => seen.headers["last-event-id"] ?? "");
   assert.equal(resumedAfter.sort(), ["", "2"]);
@@ -121,9 +123,9 @@
     undefined
   );
   await waitMs(200);
-  const seen = harness.engines.flatMap((engine) => engine.seen)
+  const seen = harness.engines.flatMap((engine) => engine.receivedRequests)
     .find((each) => each.id === id);
-  assert.ok(seen?.wasCut);
+  assert.ok(seen?.wasAborted);
   for (const engine of harness.engines) engine.behaviours = [];
 });
 
@@ -140,7 +142,7 @@
       "X-Request-Priority": "0",
     },
   });
-  const seen = harness.services.flatMap((service) => service.seen)
+  const seen = harness.services.flatMap((service) => service.receivedRequests)
     .find((each) => each.id === id);
   assert.is(seen?.method, "PUT");
   assert.is(seen?.url, "/unsafe/a%20b?x=1&y=%2F");
--- a/test/gateway/bounds_test.ts
+++ b/test/gateway/bounds_test.ts
@@ -6,8 +6,8 @@
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import type {
+  ReceivedRequest,
   ReplicaBehaviour,
-  SeenRequest,
 } from "../../fakes/fake_platform_replica.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
 import { GatewayHarness } from "./gateway_harness.ts";
@@ -49,7 +49,7 @@
   }
 }
 
-function readDeadlineMs(seen: SeenRequest | undefined): number {
+function readDeadlineMs(seen: ReceivedRequest | undefined): number {
   return Number(seen?.headers["x-deadline-ms"]);
 }
 
@@ -151,7 +151,7 @@
     const id = `crash-${turn}`;
     await harness.call("/unsafe/1", { id, gateway: 0, body: "crashes" });
   }
-  const runs = harness.services.flatMap((service) => service.seen)
+  const runs = harness.services.flatMap((service) => service.receivedRequests)
     .filter(({ body }) => body === "crashes");
   assert.is(runs.length, MAX_CRASHES);
   // By then the other gateway has learned of the crashes from heartbeats.
@@ -188,7 +188,7 @@
     const runsAtDisconnect = harness.countRuns(id);
     assert.ok(runsAtDisconnect > 0);
     await waitMs(CANCEL_MS);
-    assert.ok(harness.listRuns(id).every(({ wasCut }) => wasCut));
+    assert.ok(harness.listRuns(id).every(({ wasAborted: wasCut }) => wasCut));
     await waitMs(1_500);
     assert.is(harness.countRuns(id), runsAtDisconnect);
   });
--- a/test/gateway/endless_test.ts
+++ b/test/gateway/endless_test.ts
@@ -88,12 +88,12 @@
     const replicas = path.startsWith("/brief")
       ? harness.engines
       : harness.services;
-    for (const replica of replicas) replica.endless.length = 0;
+    for (const replica of replicas) replica.endlessAnswers.length = 0;
     setFaultOnce(replicas, part);
     const answer = await harness.call(path);
     assert.is(answer.status, status);
     assert.ok(answer.isComplete);
-    const record = replicas.flatMap((replica) => replica.endless)[0];
+    const record = replicas.flatMap((replica) => replica.endlessAnswers)[0];
     await harness.waitFor(() => record?.openMs !== undefined);
     assert.ok((record?.openMs ?? Infinity) < openMs, `${record?.openMs} ms`);
     assert.is((await harness.call(path)).status, 200);
@@ -102,20 +102,20 @@
 
 test("events without end are passed on until the deadline, and then broken off", async () => {
   setFaultOnce(harness.engines, "endlessEvents");
-  for (const engine of harness.engines) engine.endless.length = 0;
+  for (const engine of harness.engines) engine.endlessAnswers.length = 0;
   const startedAt = performance.now();
   const answer = await harness.call("/brief/1", {
     headers: { "X-Deadline-Ms": "600" },
   });
   assert.not(answer.isComplete);
   assert.ok(performance.now() - startedAt < 600 + 400);
-  const record = harness.engines.flatMap((engine) => engine.endless)[0];
+  const record = harness.engines.flatMap((engine) => engine.endlessAnswers)[0];
   await harness.waitFor(() => record?.openMs !== undefined);
 });
 
 test("a caller that does not read puts back-pressure on the stream, and memory stays bounded", async () => {
   setFaultOnce(harness.engines, "endlessEvents");
-  for (const engine of harness.engines) engine.endless.length = 0;
+  for (const engine of harness.engines) engine.endlessAnswers.length = 0;
   const before = process.memoryUsage().rss;
   const socket = connect(harness.getCallerPort(), "127.0.0.1");
   socket.on("error", () => {});
@@ -126,7 +126,7 @@
       "X-Token-Counts: 400,20\r\nContent-Length: 0\r\n\r\n",
   );
   await waitMs(1_500);
-  const sent = harness.engines.flatMap((engine) => engine.endless)[0]
+  const sent = harness.engines.flatMap((engine) => engine.endlessAnswers)[0]
     ?.sentBytes;
   assert.ok(sent !== undefined && sent < 32 * 1024 * 1024, `${sent} bytes`);
   assert.ok(process.memoryUsage().rss - before < MAX_GROWTH_BYTES);
--- a/test/gateway/fleet_test.ts
+++ b/test/gateway/fleet_test.ts
@@ -57,7 +57,9 @@
     assert.is(answer.status, 200);
   }
   for (const engine of harness.engines) {
-    const accepted = engine.orders.filter((order) => order.status < 300);
+    const accepted = engine.receivedOrders.filter((order) =>
+      order.status < 300
+    );
     assert.is(new Set(accepted.map((order) => order.holder)).size, 1);
     const fences = accepted.map((order) => order.fence);
     assert.equal(fences, [...fences].sort((a, b) => a - b));
@@ -87,15 +89,15 @@
   if (!leaving) throw new Error("expected a service");
   harness.register(leaving, "draining");
   await waitMs(DRAIN_MS / 2);
-  const before = leaving.seen.length;
+  const before = leaving.receivedRequests.length;
   for (let index = 0; index < 9; index += 1) {
     await harness.call("/safe/1", { gateway: index % GATEWAYS });
   }
-  assert.is(leaving.seen.length, before);
+  assert.is(leaving.receivedRequests.length, before);
   harness.register(leaving);
   await harness.waitFor(async () => {
     await harness.call("/safe/1");
-    return leaving.seen.length > before;
+    return leaving.receivedRequests.length > before;
   });
 });
 
@@ -140,7 +142,7 @@
   harness.register(added);
   await harness.waitFor(async () => {
     await getStatuses("/safe/1");
-    return added.seen.length >= GATEWAYS;
+    return added.receivedRequests.length >= GATEWAYS;
   });
 });
 
--- a/test/gateway/gateway_harness.ts
+++ b/test/gateway/gateway_harness.ts
@@ -7,7 +7,7 @@
 import { Agent, request } from "node:http";
 import {
   FakePlatformReplica,
-  type SeenRequest,
+  type ReceivedRequest,
 } from "../../fakes/fake_platform_replica.ts";
 import {
   buildPlatformConfiguration,
@@ -228,9 +228,9 @@
   }
 
   /** Returns the runs of a request at all replicas. */
-  listRuns(id: string): SeenRequest[] {
+  listRuns(id: string): ReceivedRequest[] {
     return [...this.engines, ...this.services]
-      .flatMap((replica) => replica.seen)
+      .flatMap((replica) => replica.receivedRequests)
       .filter((seen) => seen.id === id);
   }
 
--- a/test/gateway/notices_test.ts
+++ b/test/gateway/notices_test.ts
@@ -54,25 +54,25 @@
     } as const;
     leaving.behaviours = [fault[where]];
     await callServiceUntil(() => leaving.behaviours.length === 0);
-    const seenBefore = leaving.seen.length;
+    const seenBefore = leaving.receivedRequests.length;
     // The store still lists the replica as ready, and publishes that again.
     harness.register(leaving);
     await waitMs(PROPAGATION_MS);
     assert.equal(await callAll("/safe/1", 8), Array(8).fill(200));
-    assert.is(leaving.seen.length, seenBefore);
+    assert.is(leaving.receivedRequests.length, seenBefore);
     leaving.isLeaving = false;
     leaving.restart();
     harness.register(leaving);
     await waitMs(PROPAGATION_MS);
     await callAll("/safe/1", 12);
-    assert.ok(leaving.seen.length > seenBefore);
+    assert.ok(leaving.receivedRequests.length > seenBefore);
   });
 }
 
 /** Returns the engine that ran the request. */
 function getRunner(requestId: string): FakePlatformReplica {
   const runner = harness.engines.find((engine) =>
-    engine.seen.some((seen) => seen.id === requestId)
+    engine.receivedRequests.some((seen) => seen.id === requestId)
   );
   if (!runner) throw new Error(`expected an engine that ran ${requestId}`);
   return runner;
@@ -84,13 +84,13 @@
   leaving.isLeaving = true;
   const answer = await harness.call("/brief/1");
   assert.ok(answer.isComplete);
-  const seenBefore = leaving.seen.length;
+  const seenBefore = leaving.receivedRequests.length;
   for (let call = 0; call < 3; call += 1) {
     const answer = await harness.call("/brief/1");
     assert.is(answer.status, 200);
     assert.ok(answer.isComplete);
   }
-  assert.is(leaving.seen.length, seenBefore);
+  assert.is(leaving.receivedRequests.length, seenBefore);
   leaving.isLeaving = false;
   leaving.restart();
   leaving.models = ["m"];
@@ -101,21 +101,21 @@
 test("a replica that asks to back off gets no request for the time it named, while others serve", async () => {
   const behaviours: ReplicaBehaviour[] = ["shed"];
   for (const service of harness.services) {
-    service.refused = 0;
+    service.refusalCount = 0;
     service.retryAfterS = 1.2;
     service.behaviours = behaviours;
   }
   await harness.call("/safe/1");
-  const busy = harness.services.find((service) => service.refused === 1);
+  const busy = harness.services.find((service) => service.refusalCount === 1);
   if (!busy) throw new Error("expected one replica that refused");
   const backedOffAt = performance.now();
-  const seenBefore = busy.seen.length;
+  const seenBefore = busy.receivedRequests.length;
   while (performance.now() - backedOffAt < 1_000) {
     assert.is((await harness.call("/safe/1")).status, 200);
   }
-  assert.is(busy.seen.length, seenBefore);
+  assert.is(busy.receivedRequests.length, seenBefore);
   await waitMs(300);
-  await callServiceUntil(() => busy.seen.length > seenBefore);
+  await callServiceUntil(() => busy.receivedRequests.length > seenBefore);
   for (const service of harness.services) service.retryAfterS = undefined;
 });
 
@@ -128,7 +128,9 @@
   const haveBothRejected = () =>
     harness.services.every((service) => service.behaviours.length === 0);
   await callServiceUntil(haveBothRejected);
-  const seenBefore = harness.services.map((service) => service.seen.length);
+  const seenBefore = harness.services.map((service) =>
+    service.receivedRequests.length
+  );
   const startedAt = performance.now();
   const answer = await harness.call("/safe/1", {
     headers: { "X-Deadline-Ms": "9000" },
@@ -137,7 +139,9 @@
   assert.ok(performance.now() - startedAt < 150);
   const retryAfterMs = 1_000 * Number(answer.headers["retry-after"]);
   assert.ok(retryAfterMs > 300 && retryAfterMs < 1_100, String(retryAfterMs));
-  const seen = harness.services.map((service) => service.seen.length);
+  const seen = harness.services.map((service) =>
+    service.receivedRequests.length
+  );
   assert.equal(seen, seenBefore);
   await waitMs(1_700);
   assert.is((await harness.call("/safe/1")).status, 200);
@@ -151,13 +155,13 @@
   home.behaviours = ["shed"];
   assert.is((await harness.call("/brief/1")).status, 200);
   assert.is(home.behaviours.length, 0);
-  const seenBefore = home.seen.length;
+  const seenBefore = home.receivedRequests.length;
   for (let call = 0; call < 3; call += 1) {
     const answer = await harness.call("/brief/1");
     assert.is(answer.status, 200);
     assert.ok(answer.isComplete);
   }
-  assert.is(home.seen.length, seenBefore);
+  assert.is(home.receivedRequests.length, seenBefore);
   home.retryAfterS = undefined;
 });
 
--- a/test/gateway/observation_test.ts
+++ b/test/gateway/observation_test.ts
@@ -27,10 +27,10 @@
 test("a recently started gateway reads the reports of engines in its own failure domain, and of others once no other gateway does", async () => {
   const started = harness.start({ gateways: 1, engines: 1, services: 1 });
   await waitMs(UNSETTLED_MS);
-  assert.is(distant.reportsRead, 0);
-  assert.ok((harness.engines[0]?.reportsRead ?? 0) > 0);
+  assert.is(distant.reportReadCount, 0);
+  assert.ok((harness.engines[0]?.reportReadCount ?? 0) > 0);
   await started;
-  await harness.waitFor(() => distant.reportsRead > 0);
+  await harness.waitFor(() => distant.reportReadCount > 0);
 });
 
 test.run();
--- a/test/processes/partition_test.ts
+++ b/test/processes/partition_test.ts
@@ -36,7 +36,7 @@
 test.after(async () => await site.stop());
 
 test.after.each(async () => {
-  for (const id of site.daemonIds) await site.fleet.cut(id, {});
+  for (const id of site.daemonIds) await site.fleet.block(id, {});
   await waitUntilHealed();
   assert.is(site.countEvictionsInUse(), 0);
 });
@@ -80,17 +80,17 @@
     peers: [a1, a2],
     upstreams: [ENGINE_A, "service-hobart-a-1"],
   };
-  for (const id of [a1, a2]) await site.fleet.cut(id, partitionA);
-  for (const id of [b1, b2]) await site.fleet.cut(id, partitionB);
+  for (const id of [a1, a2]) await site.fleet.block(id, partitionA);
+  for (const id of [b1, b2]) await site.fleet.block(id, partitionB);
   await waitUntilPeersDead(a1, [b1, b2]);
   for (const id of [b1, b2]) await waitUntilPeersDead(id, [a1, a2]);
   for (const id of site.daemonIds) await expectServed(id);
-  assert.is((await site.order(a1, 1)).status, 200);
-  const order = await site.order(b1, 2);
+  assert.is((await site.sendFeedOrder(a1, 1)).status, 200);
+  const order = await site.sendFeedOrder(b1, 2);
   assert.is(order.refusal?.reason, RefusalReason.NoUpstream);
   assert.is(order.refusal?.outcome, Outcome.NotRun);
   assert.ok(order.headers.has("retry-after"));
-  assert.is(site.countOrders(2), 0);
+  assert.is(site.countFeedOrders(2), 0);
   const revision = await site.fleet.writeTable(
     "routes",
     site.formatRoutes("v1"),
@@ -99,7 +99,7 @@
 });
 
 test("partition between a failure domain and the platform: daemons serve, and remote peers forward new tables", async () => {
-  for (const id of [b1, b2]) await site.fleet.cut(id, { platform: true });
+  for (const id of [b1, b2]) await site.fleet.block(id, { platform: true });
   for (const id of [b1, b2]) {
     const before = await site.fleet.getCounter(
       id,
@@ -122,7 +122,7 @@
 });
 
 test("partition between a daemon and its local peers: both sides serve, and no adapter in use is evicted", async () => {
-  await site.fleet.cut(b1, { peers: [a1, a2, b2] });
+  await site.fleet.block(b1, { peers: [a1, a2, b2] });
   await waitUntilPeersDead(b1, [a1, a2, b2]);
   await waitUntilPeersDead(b2, [b1]);
   await site.waitUntilOwned([b1]);
@@ -142,20 +142,20 @@
 
 test("partition between an entry and an upstream that its owner reaches: another upstream answers", async () => {
   await expectServed(b1);
-  await site.fleet.cut(b1, { upstreams: [ENGINE_B] });
+  await site.fleet.block(b1, { upstreams: [ENGINE_B] });
   await expectServed(b1);
   await expectServed(b2);
 });
 
 test("partition between all daemons and an upstream: other upstreams answer, or the request is refused", async () => {
   for (const id of site.daemonIds) {
-    await site.fleet.cut(id, { upstreams: ["service-hobart-a-1", ENGINE_B] });
+    await site.fleet.block(id, { upstreams: ["service-hobart-a-1", ENGINE_B] });
   }
   for (const id of site.daemonIds) await expectServed(id);
-  const order = await site.order(a1, 3);
+  const order = await site.sendFeedOrder(a1, 3);
   assert.is(order.refusal?.reason, RefusalReason.NoUpstream);
   assert.is(order.refusal?.outcome, Outcome.NotRun);
-  assert.is(site.countOrders(3), 0);
+  assert.is(site.countFeedOrders(3), 0);
 });
 
 test("host list down: the last list stays in force, also after a restart of a daemon", async () => {
--- a/test/processes/pause_test.ts
+++ b/test/processes/pause_test.ts
@@ -75,7 +75,7 @@
     const { upstreams } = await fleet.getStatus(owner);
     return upstreams.some((upstream) => upstream.waiting > 0);
   });
-  await fleet.cut(owner, { peers: [first, second] });
+  await fleet.block(owner, { peers: [first, second] });
   fleet.signal(owner, "SIGSTOP");
   await startedSite.waitUntilOwned([first, second]);
   await expectExact([...streams, waitingCall], [
@@ -94,7 +94,7 @@
   );
   await expectExact(running, ["adapter-4", "adapter-5"]);
   assert.is(startedSite.countEvictionsInUse(), 0);
-  await fleet.cut(owner, {});
+  await fleet.block(owner, {});
   await expectExact([startedSite.startCall(owner, "adapter-6")], ["adapter-6"]);
   assert.is(startedSite.countEvictionsInUse(), 0);
 }
--- a/test/processes/shutdown_test.ts
+++ b/test/processes/shutdown_test.ts
@@ -54,10 +54,10 @@
     ...await site.startStreams(first, ["adapter-1"]),
   ];
   for (const service of site.services.values()) service.faults.runTimeMs = 500;
-  const order = site.order(owner, 1);
+  const order = site.sendFeedOrder(owner, 1);
   await waitUntil(
     "the order runs",
-    () => Promise.resolve(site.countOrders(1) === 1),
+    () => Promise.resolve(site.countFeedOrders(1) === 1),
   );
   const queued = site.startCall(first, "adapter-2");
   site.fleet.signal(owner, "SIGTERM");
@@ -69,7 +69,7 @@
     );
   }
   assert.is((await order).status, 200);
-  assert.is(site.countOrders(1), 1);
+  assert.is(site.countFeedOrders(1), 1);
   assert.is(await site.fleet.waitForExit(owner), 0);
   assert.is(site.countEvictionsInUse(), 0);
   const remaining = site.daemonIds.filter((id) => id !== owner);
--- a/test/processes/ticket_test.ts
+++ b/test/processes/ticket_test.ts
@@ -58,9 +58,9 @@
   for (let pen = 100; pen < 110; pen += 1) {
     const ticket = await site.getTicket(a1, pen);
     const answers = await Promise.all(
-      [a1, a2, b1, a2].map((id) => site.order(id, pen, ticket)),
+      [a1, a2, b1, a2].map((id) => site.sendFeedOrder(id, pen, ticket)),
     );
-    assert.is(site.countOrders(pen), 1);
+    assert.is(site.countFeedOrders(pen), 1);
     const completed = answers.filter(({ status }) => status === 200);
     const first = completed.filter(({ headers }) =>
       headers.get("idempotent-replayed") === null
@@ -72,62 +72,62 @@
       assert.is(refusal?.reason, RefusalReason.TicketInProgress);
       assert.is(refusal?.outcome, Outcome.MayHaveRun);
     }
-    const replayed = await site.order(b1, pen, ticket);
+    const replayed = await site.sendFeedOrder(b1, pen, ticket);
     assert.is(replayed.status, 200);
     assert.is(replayed.headers.get("idempotent-replayed"), "true");
     assert.is(replayed.text, first[0]?.text);
-    assert.is(site.countOrders(pen), 1);
+    assert.is(site.countFeedOrders(pen), 1);
   }
 });
 
 test("a ticket runs once during a partition, and the side without the issuer refuses it", async () => {
   const ticket = await site.getTicket(a1, 200);
-  await site.fleet.cut(b1, { peers: [a1, a2] });
+  await site.fleet.block(b1, { peers: [a1, a2] });
   await waitUntilPeerDead(b1, a1);
-  const partitioned = await site.order(b1, 200, ticket);
+  const partitioned = await site.sendFeedOrder(b1, 200, ticket);
   assert.is(partitioned.refusal?.reason, RefusalReason.TicketHomeUnreachable);
   assert.is(partitioned.refusal?.outcome, Outcome.MayHaveRun);
-  const localAnswer = await site.order(a2, 200, ticket);
+  const localAnswer = await site.sendFeedOrder(a2, 200, ticket);
   assert.is(localAnswer.status, 200, describeAnswer(localAnswer));
-  const fresh = await site.order(b1, 201);
+  const fresh = await site.sendFeedOrder(b1, 201);
   assert.is(
     fresh.status,
     200,
     "a partitioned failure domain still serves under new tickets",
   );
-  await site.fleet.cut(b1, {});
+  await site.fleet.block(b1, {});
   await waitUntilPeersLive();
-  const healed = await site.order(b1, 200, ticket);
+  const healed = await site.sendFeedOrder(b1, 200, ticket);
   assert.is(healed.headers.get("idempotent-replayed"), "true");
-  assert.is(site.countOrders(200), 1);
-  assert.is(site.countOrders(201), 1);
+  assert.is(site.countFeedOrders(200), 1);
+  assert.is(site.countFeedOrders(201), 1);
 });
 
 test("a run whose ticket issuer becomes unreachable is never repeated", async () => {
   for (const service of site.services.values()) service.faults.runTimeMs = 500;
   const ticket = await site.getTicket(a1, 210);
-  const running = site.order(b1, 210, ticket);
+  const running = site.sendFeedOrder(b1, 210, ticket);
   await waitUntil(
     "the request runs",
-    () => Promise.resolve(site.countOrders(210) === 1),
+    () => Promise.resolve(site.countFeedOrders(210) === 1),
   );
-  await site.fleet.cut(b1, { peers: [a1, a2] });
+  await site.fleet.block(b1, { peers: [a1, a2] });
   assert.is((await running).status, 200);
-  const localAnswer = await site.order(a1, 210, ticket);
+  const localAnswer = await site.sendFeedOrder(a1, 210, ticket);
   assert.is(localAnswer.refusal?.reason, RefusalReason.TicketInProgress);
   assert.is(localAnswer.refusal?.outcome, Outcome.MayHaveRun);
-  await site.fleet.cut(b1, {});
+  await site.fleet.block(b1, {});
   await waitUntilPeersLive();
   await waitUntil("the claim is settled", async () => {
-    const later = await site.order(a2, 210, ticket);
+    const later = await site.sendFeedOrder(a2, 210, ticket);
     return later.headers.get("idempotent-replayed") === "true";
   });
-  assert.is(site.countOrders(210), 1);
+  assert.is(site.countFeedOrders(210), 1);
 });
 
 test("a ticket never runs after its issuer was killed and restarted", async () => {
   const spentTicket = await site.getTicket(a1, 300);
-  assert.is((await site.order(a2, 300, spentTicket)).status, 200);
+  assert.is((await site.sendFeedOrder(a2, 300, spentTicket)).status, 200);
   const unusedTicket = await site.getTicket(a1, 301);
   site.fleet.signal(a1, "SIGKILL");
   await site.fleet.waitForExit(a1);
@@ -135,7 +135,7 @@
   for (
     const [pen, ticket] of [[300, spentTicket], [301, unusedTicket]] as const
   ) {
-    const answer = await site.order(a2, pen, ticket);
+    const answer = await site.sendFeedOrder(a2, pen, ticket);
     assert.is(answer.refusal?.reason, RefusalReason.TicketHomeUnreachable);
     assert.is(answer.refusal?.outcome, Outcome.MayHaveRun);
   }
@@ -146,40 +146,40 @@
     const [pen, ticket] of [[300, spentTicket], [301, unusedTicket]] as const
   ) {
     for (const id of site.daemonIds) {
-      const answer = await site.order(id, pen, ticket);
+      const answer = await site.sendFeedOrder(id, pen, ticket);
       assert.is(answer.refusal?.reason, RefusalReason.TicketExpired);
       assert.is(answer.refusal?.outcome, Outcome.MayHaveRun);
     }
   }
-  assert.is(site.countOrders(300), 1);
-  assert.is(site.countOrders(301), 0);
-  assert.is((await site.order(a2, 302)).status, 200);
+  assert.is(site.countFeedOrders(300), 1);
+  assert.is(site.countFeedOrders(301), 0);
+  assert.is((await site.sendFeedOrder(a2, 302)).status, 200);
 });
 
 test("a run whose answer was lost is reported as one that may have run", async () => {
   for (const service of site.services.values()) service.faults.cutAnswers = 1;
   const ticket = await site.getTicket(a1, 400);
-  const answer = await site.order(a1, 400, ticket);
+  const answer = await site.sendFeedOrder(a1, 400, ticket);
   assert.is(answer.refusal?.reason, RefusalReason.UpstreamLost);
   assert.is(answer.refusal?.outcome, Outcome.MayHaveRun);
   for (const service of site.services.values()) service.faults.cutAnswers = 0;
-  const retried = await site.order(b1, 400, ticket);
+  const retried = await site.sendFeedOrder(b1, 400, ticket);
   assert.is(retried.refusal?.outcome, Outcome.MayHaveRun);
-  assert.is(site.countOrders(400), 1);
+  assert.is(site.countFeedOrders(400), 1);
 });
 
 test("a request that no upstream started can be retried under its ticket", async () => {
   for (const service of site.services.values()) service.faults.refuseRuns = 9;
   const ticket = await site.getTicket(a1, 410);
-  const refused = await site.order(a1, 410, ticket);
+  const refused = await site.sendFeedOrder(a1, 410, ticket);
   assert.is(refused.refusal?.outcome, Outcome.NotRun);
-  assert.is(site.countOrders(410), 0);
+  assert.is(site.countFeedOrders(410), 0);
   for (const service of site.services.values()) service.faults.refuseRuns = 0;
   await waitUntil(
     "the claim is released",
-    async () => (await site.order(a2, 410, ticket)).status === 200,
+    async () => (await site.sendFeedOrder(a2, 410, ticket)).status === 200,
   );
-  assert.is(site.countOrders(410), 1);
+  assert.is(site.countFeedOrders(410), 1);
 });
 
 test.run();
--- a/test/soak/fleet_restart_test.ts
+++ b/test/soak/fleet_restart_test.ts
@@ -26,7 +26,7 @@
   const agent = new Agent({ keepAlive: false });
   const countOrders = () =>
     fleet.engines.map((engine) =>
-      engine.orders.filter((order) => order.status < 300).length
+      engine.receivedOrders.filter((order) => order.status < 300).length
     );
   let calls = 0;
   /**
--- a/test/soak/soak_run.ts
+++ b/test/soak/soak_run.ts
@@ -9,7 +9,7 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import {
   type ReplicaBehaviour,
-  STREAM_EVENTS,
+  STREAM_EVENT_COUNT,
 } from "../../fakes/fake_platform_replica.ts";
 import { OrderOracle } from "../fuzz/order_oracle.ts";
 import { waitMs } from "../../src/gateway/wait.ts";
@@ -226,7 +226,7 @@
   const isStream = path === "/brief/" || path === "/resume/";
   const expected = isStream
     ? Array.from(
-      { length: STREAM_EVENTS },
+      { length: STREAM_EVENT_COUNT },
       (_, index) => `id: ${index + 1}\ndata: piece ${index + 1}\n\n`,
     ).join("")
     : SERVICE_ANSWER;
@@ -238,7 +238,7 @@
 function checkRuns(fleet: SoakFleet, report: SoakReport): void {
   const runs = new Map<string, number>();
   for (const replica of [...fleet.engines, ...fleet.services]) {
-    for (const seen of replica.seen) {
+    for (const seen of replica.receivedRequests) {
       runs.set(seen.id, (runs.get(seen.id) ?? 0) + 1);
     }
   }
@@ -255,7 +255,7 @@
 function checkOrders(fleet: SoakFleet, report: SoakReport): void {
   for (const engine of fleet.engines) {
     const oracle = new OrderOracle(SOAK_TERM_MS);
-    for (const order of engine.orders) {
+    for (const order of engine.receivedOrders) {
       if (order.status >= 300) continue;
       const { holder, fence, at } = order;
       oracle.check({ daemon: holder, fence, at });
