--- a/bench/places/places_command.ts
+++ b/bench/places/places_command.ts
@@ -1,7 +1,7 @@
-/** `bench places`: which adapter yields its place, against other rules on the same demand. */
+/** `bench places`: compares adapter eviction policies on the same requests. */
 import type { Subcommand, SubcommandArguments } from "../subcommand.ts";
-import { createPlacesDemand, PLACES_SITES } from "./places_demand.ts";
-import { runPlaces, YieldRule } from "./places_simulation.ts";
+import { createAdapterRequests, SITE_PROFILES } from "./places_demand.ts";
+import { EvictionPolicy, runEvictionSimulation } from "./places_simulation.ts";
 
 export const placesCommand: Subcommand = {
   name: "places",
@@ -12,19 +12,23 @@
     { flags: "--seeds", description: "Demands, one a seed", value: 5 },
   ],
   run: (options: SubcommandArguments) => {
-    const spanMs = 1_000 * Number(options.seconds);
-    const first = Number(options.seed);
-    for (const site of PLACES_SITES) {
-      for (let seed = first; seed < first + Number(options.seeds); seed += 1) {
-        const demand = createPlacesDemand(site, spanMs, seed);
-        for (const rule of Object.values(YieldRule)) {
-          const { requests, fetches, reloads, meanWaitMs, slowShare } =
-            runPlaces(site, demand, rule);
+    const durationMs = 1_000 * Number(options.seconds);
+    const firstSeed = Number(options.seed);
+    for (const site of SITE_PROFILES) {
+      for (
+        let seed = firstSeed;
+        seed < firstSeed + Number(options.seeds);
+        seed += 1
+      ) {
+        const workload = createAdapterRequests(site, durationMs, seed);
+        for (const policy of Object.values(EvictionPolicy)) {
+          const { requests, fetches, reloads, meanWaitMs, slowFraction } =
+            runEvictionSimulation(site, workload, policy);
           console.log(
-            `${site.name} seed ${seed} ${rule}: ${requests} requests, ` +
+            `${site.name} seed ${seed} ${policy}: ${requests} requests, ` +
               `${fetches} fetches, ${reloads} reloads, ` +
               `${meanWaitMs.toFixed(0)} ms of wait, ` +
-              `${(100 * slowShare).toFixed(1)} % beyond 500 ms`,
+              `${(100 * slowFraction).toFixed(1)} % beyond 500 ms`,
           );
         }
       }
--- a/bench/places/places_demand.ts
+++ b/bench/places/places_demand.ts
@@ -1,27 +1,33 @@
-/** Demand for adapters as on a busy day of the users' sites, drawn from a seed. */
+/**
+ * Generates requests for adapters from a seed, with the rates and popularity of
+ * a busy day at the users' sites.
+ */
 import type { Milliseconds } from "../../src/core/structures.ts";
 import {
-  PopularityLaw,
-  type PopularityLawOptions,
+  ZipfPopularity,
+  type ZipfPopularityOptions,
 } from "../policy/popularity_law.ts";
 import { createRandom } from "../policy/random.ts";
 
-export interface PlacesSite extends PopularityLawOptions {
+export interface SiteProfile extends ZipfPopularityOptions {
   name: string;
   engines: number;
   slotsPerEngine: number;
   requestsPerSecond: number;
 }
 
-export interface AdapterDemand {
+export interface AdapterRequest {
   at: Milliseconds;
   adapter: number;
-  /** Time for which the run holds its adapter. */
-  holdMs: Milliseconds;
+  /** How long the run uses its adapter, which cannot be evicted meanwhile. */
+  runMs: Milliseconds;
 }
 
-/** The standard sites' sheets and site files; requests a second of their engines. */
-export const PLACES_SITES: readonly PlacesSite[] = [
+/**
+ * The standard sites, from their specifications and site files. The request
+ * rates are those of their engines.
+ */
+export const SITE_PROFILES: readonly SiteProfile[] = [
   {
     name: "feedline-tas",
     engines: 13,
@@ -40,36 +46,48 @@
   },
 ];
 
-/** Time of a long generation and of a short one, as measured on the standard days. */
-const LONG_HOLD_MS = 4_000;
-const SHORT_HOLD_MS = 1_200;
-/** Part of the requests that are long generations. */
-const LONG_SHARE = 0.59;
-/** Period in which some adapters change ranks, and pairs that do for each adapter: two in ten change. */
-const SHIFT_PERIOD_MS = 6_000;
-const SHIFTING_PAIRS_PER_ADAPTER = 0.1;
+/**
+ * Durations of a long and a short generation, measured on the standard
+ * benchmark days.
+ */
+const LONG_RUN_MS = 4_000;
+const SHORT_RUN_MS = 1_200;
+/** Fraction of the requests that are long generations. */
+const LONG_RUN_FRACTION = 0.59;
+/**
+ * Interval between changes of popularity, in which some adapters swap ranks.
+ */
+const RANK_CHANGE_INTERVAL_MS = 6_000;
+/**
+ * Number of swapped pairs per adapter: about two adapters in ten change rank.
+ */
+const SWAPPED_PAIRS_PER_ADAPTER = 0.1;
 
-export function createPlacesDemand(
-  site: PlacesSite,
-  spanMs: Milliseconds,
+export function createAdapterRequests(
+  site: SiteProfile,
+  durationMs: Milliseconds,
   seed: number,
-): AdapterDemand[] {
+): AdapterRequest[] {
   const random = createRandom(seed);
-  const law = new PopularityLaw(site, random);
-  const demand: AdapterDemand[] = [];
-  let shiftAt = SHIFT_PERIOD_MS;
+  const popularity = new ZipfPopularity(site, random);
+  const requests: AdapterRequest[] = [];
+  let nextRankChangeAt = RANK_CHANGE_INTERVAL_MS;
   let at = 0;
-  while (at < spanMs) {
-    for (; at >= shiftAt; shiftAt += SHIFT_PERIOD_MS) {
-      law.changeSomeRanks(site.adapters * SHIFTING_PAIRS_PER_ADAPTER);
+  while (at < durationMs) {
+    for (
+      ;
+      at >= nextRankChangeAt;
+      nextRankChangeAt += RANK_CHANGE_INTERVAL_MS
+    ) {
+      popularity.swapRandomRanks(site.adapters * SWAPPED_PAIRS_PER_ADAPTER);
     }
-    const isLong = random() < LONG_SHARE;
-    demand.push({
+    const isLongRun = random() < LONG_RUN_FRACTION;
+    requests.push({
       at,
-      adapter: law.draw(),
-      holdMs: isLong ? LONG_HOLD_MS : SHORT_HOLD_MS,
+      adapter: popularity.drawAdapter(),
+      runMs: isLongRun ? LONG_RUN_MS : SHORT_RUN_MS,
     });
     at += -Math.log(1 - random()) * 1_000 / site.requestsPerSecond;
   }
-  return demand;
+  return requests;
 }
--- a/bench/places/places_simulation.ts
+++ b/bench/places/places_simulation.ts
@@ -1,7 +1,7 @@
 /**
- * Plays one demand under a rule for which adapter yields its place. Each adapter has
- * one engine, by rendezvous, where requests wait for a place in the order in which
- * they came; what an engine held lately loads from its own memory.
+ * Simulates one workload under an eviction policy. Rendezvous hashing assigns
+ * each adapter to one engine, where requests wait for an adapter slot in order
+ * of arrival. A recently evicted adapter reloads from the engine's host memory.
  */
 import {
   type AdapterSlot,
@@ -10,185 +10,197 @@
 import { findRendezvousWinner } from "../../src/core/hashing.ts";
 import type { Milliseconds } from "../../src/core/structures.ts";
 import { EventHeap } from "../policy/event_heap.ts";
-import type { AdapterDemand, PlacesSite } from "./places_demand.ts";
+import type { AdapterRequest, SiteProfile } from "./places_demand.ts";
 
-export const YieldRule = {
-  /** The product's: fewest uses, decayed over time. */
+export const EvictionPolicy = {
+  /** The product's policy: least exponentially decayed number of uses. */
   DecayedUse: "decayed use",
-  LeastRecent: "least recently used",
-  FewestUses: "fewest uses",
-  /** The one whose next request is furthest away: knows the future. */
+  LeastRecentlyUsed: "least recently used",
+  LeastFrequentlyUsed: "fewest uses",
+  /** Belady's algorithm: knows all requests, evicts the one needed latest. */
   Clairvoyant: "clairvoyant",
 } as const;
-export type YieldRule = (typeof YieldRule)[keyof typeof YieldRule];
+export type EvictionPolicy =
+  (typeof EvictionPolicy)[keyof typeof EvictionPolicy];
 
-export interface PlacesResult {
-  rule: YieldRule;
+export interface EvictionResult {
+  policy: EvictionPolicy;
   requests: number;
-  /** Loads from the weight store. */
+  /** Number of loads from the weight store. */
   fetches: number;
-  /** Loads from an engine's own memory. */
+  /** Number of loads from an engine's host memory. */
   reloads: number;
-  /** Mean time that a request waits for its adapter. */
+  /** Mean time from a request's arrival until its adapter is loaded. */
   meanWaitMs: Milliseconds;
-  /** Part of the requests that waited for more than half a second. */
-  slowShare: number;
+  /** Fraction of the requests that waited for more than 500 ms. */
+  slowFraction: number;
 }
 
-/** The sheets' time of a load from the weight store, and of one from memory, a tenth. */
+/**
+ * Load time from the weight store in the site specifications; a load from host
+ * memory takes a tenth of it.
+ */
 const FETCH_MS = 250;
 const RELOAD_MS = 25;
-const SLOW_MS = 500;
+const SLOW_WAIT_MS = 500;
 
 interface SimulatedEngine {
   id: string;
-  places: AdapterSlots;
-  /** Requests that have not begun to run, in the order in which they came. */
-  waiting: WaitingDemand[];
-  uses: Map<string, number>;
-  /** Times of requests to come, by adapter, for the rule that knows them. */
-  coming: Map<string, Milliseconds[]>;
+  slots: AdapterSlots;
+  /** Requests that have not started to run, in order of arrival. */
+  queue: QueuedRequest[];
+  useCounts: Map<string, number>;
+  /** Future arrival times by adapter, for the clairvoyant policy. */
+  upcomingArrivals: Map<string, Milliseconds[]>;
 }
 
-interface WaitingDemand extends AdapterDemand {
+interface QueuedRequest extends AdapterRequest {
   id: string;
   path: string;
 }
 
-export function runPlaces(
-  site: PlacesSite,
-  demand: readonly AdapterDemand[],
-  rule: YieldRule,
-): PlacesResult {
-  return new PlacesSimulation(site, rule).run(demand);
+export function runEvictionSimulation(
+  site: SiteProfile,
+  workload: readonly AdapterRequest[],
+  policy: EvictionPolicy,
+): EvictionResult {
+  return new EvictionSimulation(site, policy).run(workload);
 }
 
-class PlacesSimulation {
-  readonly #rule: YieldRule;
+class EvictionSimulation {
+  readonly #policy: EvictionPolicy;
   readonly #engines: SimulatedEngine[];
   readonly #heap = new EventHeap();
   readonly #waits: Milliseconds[] = [];
   #fetches = 0;
   #reloads = 0;
 
-  constructor(site: PlacesSite, rule: YieldRule) {
-    this.#rule = rule;
+  constructor(site: SiteProfile, policy: EvictionPolicy) {
+    this.#policy = policy;
     this.#engines = Array.from({ length: site.engines }, (_, index) => ({
       id: `engine ${index}`,
-      places: new AdapterSlots(site.slotsPerEngine),
-      waiting: [],
-      uses: new Map(),
-      coming: new Map(),
+      slots: new AdapterSlots(site.slotsPerEngine),
+      queue: [],
+      useCounts: new Map(),
+      upcomingArrivals: new Map(),
     }));
   }
 
-  run(demand: readonly AdapterDemand[]): PlacesResult {
-    demand.forEach((each, index) => this.#addRequest(each, String(index)));
+  run(workload: readonly AdapterRequest[]): EvictionResult {
+    workload.forEach((request, index) =>
+      this.#addRequest(request, String(index))
+    );
     this.#heap.runUntil(Number.POSITIVE_INFINITY);
     const waits = this.#waits;
     const requests = Math.max(1, waits.length);
     return {
-      rule: this.#rule,
+      policy: this.#policy,
       requests: waits.length,
       fetches: this.#fetches,
       reloads: this.#reloads,
       meanWaitMs: waits.reduce((sum, wait) => sum + wait, 0) / requests,
-      slowShare: waits.filter((wait) => wait > SLOW_MS).length / requests,
+      slowFraction: waits.filter((wait) => wait > SLOW_WAIT_MS).length /
+        requests,
     };
   }
 
-  #addRequest(demand: AdapterDemand, id: string): void {
-    const path = `m/a${demand.adapter}`;
+  #addRequest(request: AdapterRequest, id: string): void {
+    const path = `m/a${request.adapter}`;
     const engine = findRendezvousWinner(path, this.#engines);
     if (!engine) return;
-    const times = engine.coming.get(path) ?? [];
-    times.push(demand.at);
-    engine.coming.set(path, times);
-    this.#heap.add(demand.at, (now) => {
-      times.shift();
-      engine.uses.set(path, (engine.uses.get(path) ?? 0) + 1);
-      engine.waiting.push({ ...demand, id, path });
-      this.#pump(engine, now);
+    const arrivals = engine.upcomingArrivals.get(path) ?? [];
+    arrivals.push(request.at);
+    engine.upcomingArrivals.set(path, arrivals);
+    this.#heap.schedule(request.at, (now) => {
+      arrivals.shift();
+      engine.useCounts.set(path, (engine.useCounts.get(path) ?? 0) + 1);
+      engine.queue.push({ ...request, id, path });
+      this.#dispatchQueue(engine, now);
     });
   }
 
-  /** Starts what can run, and then loads for the others: what is there for somebody does not yield. */
-  #pump(engine: SimulatedEngine, now: Milliseconds): void {
-    engine.waiting = engine.waiting.filter((request) => {
-      const place = engine.places.getSlot(request.path);
-      if (place?.state !== "resident") return true;
-      this.#startRun(engine, place, request, now);
+  /**
+   * Starts the requests whose adapter is loaded, then orders loads for the
+   * others. Runs start first so that a load cannot evict an adapter that a
+   * queued request can use at once.
+   */
+  #dispatchQueue(engine: SimulatedEngine, now: Milliseconds): void {
+    engine.queue = engine.queue.filter((request) => {
+      const slot = engine.slots.getSlot(request.path);
+      if (slot?.state !== "resident") return true;
+      this.#startRun(engine, slot, request, now);
       return false;
     });
-    for (const { path } of engine.waiting) {
-      if (!engine.places.getSlot(path)) this.#load(engine, path, now);
+    for (const { path } of engine.queue) {
+      if (!engine.slots.getSlot(path)) this.#load(engine, path, now);
     }
   }
 
   #startRun(
     engine: SimulatedEngine,
-    place: AdapterSlot,
-    request: WaitingDemand,
+    slot: AdapterSlot,
+    request: QueuedRequest,
     now: Milliseconds,
   ): void {
     this.#waits.push(now - request.at);
-    engine.places.recordUse(place, request.id, now);
-    this.#heap.add(now + request.holdMs, (at) => {
-      place.permitIds.delete(request.id);
-      place.lastUsedAt = at;
-      this.#pump(engine, at);
+    engine.slots.recordUse(slot, request.id, now);
+    this.#heap.schedule(now + request.runMs, (at) => {
+      slot.permitIds.delete(request.id);
+      slot.lastUsedAt = at;
+      this.#dispatchQueue(engine, at);
     });
   }
 
   #load(engine: SimulatedEngine, path: string, now: Milliseconds): void {
-    const { places } = engine;
-    if (!places.hasFreeSlot()) {
-      const victim = findVictim(engine, this.#rule, now);
+    const { slots } = engine;
+    if (!slots.hasFreeSlot()) {
+      const victim = findVictim(engine, this.#policy, now);
       if (!victim) return;
-      places.recordEvicted(victim.adapterPath);
+      slots.recordEvicted(victim.adapterPath);
     }
-    const isFetch = places.needsFetch(path);
-    if (isFetch) this.#fetches += 1;
+    const isStoreFetch = slots.needsFetch(path);
+    if (isStoreFetch) this.#fetches += 1;
     else this.#reloads += 1;
-    places.recordLoadOrdered(path, undefined, now);
-    this.#heap.add(now + (isFetch ? FETCH_MS : RELOAD_MS), (at) => {
-      const place = places.getSlot(path);
-      if (!place) return;
-      place.state = "resident";
-      place.isConfirmed = true;
-      this.#pump(engine, at);
+    slots.recordLoadOrdered(path, undefined, now);
+    this.#heap.schedule(now + (isStoreFetch ? FETCH_MS : RELOAD_MS), (at) => {
+      const slot = slots.getSlot(path);
+      if (!slot) return;
+      slot.state = "resident";
+      slot.isConfirmed = true;
+      this.#dispatchQueue(engine, at);
     });
   }
 }
 
 function findVictim(
   engine: SimulatedEngine,
-  rule: YieldRule,
+  policy: EvictionPolicy,
   now: Milliseconds,
 ): AdapterSlot | undefined {
-  const { places, uses, coming } = engine;
-  switch (rule) {
-    case YieldRule.DecayedUse:
-      return places.findEvictionVictim(now);
-    case YieldRule.LeastRecent:
-      return selectLeast(places.listIdle(now), (place) => place.lastUsedAt);
-    case YieldRule.FewestUses:
-      return selectLeast(
-        places.listIdle(now),
-        (place) => uses.get(place.adapterPath) ?? 0,
+  const { slots, useCounts, upcomingArrivals } = engine;
+  switch (policy) {
+    case EvictionPolicy.DecayedUse:
+      return slots.findEvictionVictim(now);
+    case EvictionPolicy.LeastRecentlyUsed:
+      return selectMinimum(slots.listIdle(now), (slot) => slot.lastUsedAt);
+    case EvictionPolicy.LeastFrequentlyUsed:
+      return selectMinimum(
+        slots.listIdle(now),
+        (slot) => useCounts.get(slot.adapterPath) ?? 0,
       );
-    case YieldRule.Clairvoyant:
-      return selectLeast(
-        places.listIdle(now),
-        (place) =>
-          -(coming.get(place.adapterPath)?.[0] ?? Number.POSITIVE_INFINITY),
+    case EvictionPolicy.Clairvoyant:
+      return selectMinimum(
+        slots.listIdle(now),
+        (slot) =>
+          -(upcomingArrivals.get(slot.adapterPath)?.[0] ??
+            Number.POSITIVE_INFINITY),
       );
   }
 }
 
-function selectLeast(
-  places: readonly AdapterSlot[],
-  measureOf: (place: AdapterSlot) => number,
+function selectMinimum(
+  slots: readonly AdapterSlot[],
+  rankOf: (slot: AdapterSlot) => number,
 ): AdapterSlot | undefined {
-  return [...places].sort((a, b) => measureOf(a) - measureOf(b))[0];
+  return [...slots].sort((a, b) => rankOf(a) - rankOf(b))[0];
 }
--- a/test/bench/places/places_simulation_test.ts
+++ b/test/bench/places/places_simulation_test.ts
@@ -1,18 +1,21 @@
-/** The comparison of rules for which adapter yields: small demands whose loads can be counted by hand. */
+/**
+ * Eviction policies in the simulation, on workloads small enough to count the
+ * loads by hand.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  type AdapterDemand,
-  createPlacesDemand,
-  PLACES_SITES,
-  type PlacesSite,
+  type AdapterRequest,
+  createAdapterRequests,
+  SITE_PROFILES,
+  type SiteProfile,
 } from "../../../bench/places/places_demand.ts";
 import {
-  runPlaces,
-  YieldRule,
+  EvictionPolicy,
+  runEvictionSimulation,
 } from "../../../bench/places/places_simulation.ts";
 
-const ONE_ENGINE: PlacesSite = {
+const ONE_ENGINE: SiteProfile = {
   name: "one",
   engines: 1,
   slotsPerEngine: 2,
@@ -21,54 +24,61 @@
   requestsPerSecond: 1,
 };
 
-function createDemand(adapters: readonly number[]): AdapterDemand[] {
+function createWorkload(adapters: readonly number[]): AdapterRequest[] {
   return adapters.map((adapter, index) => ({
     at: 1_000 * index,
     adapter,
-    holdMs: 100,
+    runMs: 100,
   }));
 }
 
-function countLoads(adapters: readonly number[], rule: YieldRule): number {
-  const { fetches, reloads } = runPlaces(
+function countLoads(
+  adapters: readonly number[],
+  policy: EvictionPolicy,
+): number {
+  const { fetches, reloads } = runEvictionSimulation(
     ONE_ENGINE,
-    createDemand(adapters),
-    rule,
+    createWorkload(adapters),
+    policy,
   );
   return fetches + reloads;
 }
 
-test("a swept cache keeps what comes again only for the rule that knows it", () => {
-  const swept = [1, 2, 3, 1, 2, 3, 1, 2, 3];
-  assert.is(countLoads(swept, YieldRule.LeastRecent), 9);
-  assert.is(countLoads(swept, YieldRule.Clairvoyant), 6);
+test("cyclic scan: every request misses under LRU, the clairvoyant policy keeps some adapters", () => {
+  const scan = [1, 2, 3, 1, 2, 3, 1, 2, 3];
+  assert.is(countLoads(scan, EvictionPolicy.LeastRecentlyUsed), 9);
+  assert.is(countLoads(scan, EvictionPolicy.Clairvoyant), 6);
 });
 
-test("what is used often stays under the rules that count uses", () => {
+test("policies that count uses keep a frequently used adapter loaded", () => {
   const skewed = [1, 1, 1, 2, 3, 1, 4, 5, 1, 6, 7, 1];
-  assert.is(countLoads(skewed, YieldRule.LeastRecent), 10);
-  assert.is(countLoads(skewed, YieldRule.FewestUses), 7);
-  assert.is(countLoads(skewed, YieldRule.DecayedUse), 7);
+  assert.is(countLoads(skewed, EvictionPolicy.LeastRecentlyUsed), 10);
+  assert.is(countLoads(skewed, EvictionPolicy.LeastFrequentlyUsed), 7);
+  assert.is(countLoads(skewed, EvictionPolicy.DecayedUse), 7);
 });
 
-test("an adapter in use does not yield, and who waits is served when one falls idle", () => {
-  const demand = [0, 1, 2].map((adapter) => ({
+test("an adapter in use is not evicted; a queued request is served once an adapter becomes idle", () => {
+  const workload = [0, 1, 2].map((adapter) => ({
     at: 0,
     adapter,
-    holdMs: 1_000,
+    runMs: 1_000,
   }));
-  const result = runPlaces(ONE_ENGINE, demand, YieldRule.DecayedUse);
+  const result = runEvictionSimulation(
+    ONE_ENGINE,
+    workload,
+    EvictionPolicy.DecayedUse,
+  );
   assert.is(result.requests, 3);
   assert.is(Math.round(result.meanWaitMs), Math.round((250 + 250 + 1_500) / 3));
 });
 
-test("a demand is the same for the same seed, and as dense as the site asks", () => {
-  const [site] = PLACES_SITES;
+test("the same seed generates the same workload, at about the site's request rate", () => {
+  const [site] = SITE_PROFILES;
   if (!site) throw new Error("expected a site, actual none");
-  const demand = createPlacesDemand(site, 20_000, 7);
-  assert.equal(createPlacesDemand(site, 20_000, 7), demand);
+  const workload = createAdapterRequests(site, 20_000, 7);
+  assert.equal(createAdapterRequests(site, 20_000, 7), workload);
   const expected = 20 * site.requestsPerSecond;
-  assert.ok(Math.abs(demand.length - expected) < 0.2 * expected);
+  assert.ok(Math.abs(workload.length - expected) < 0.2 * expected);
 });
 
 test.run();
