--- a/bench/losses/losses_command.ts
+++ b/bench/losses/losses_command.ts
@@ -1,9 +1,16 @@
-/** `bench losses`: from a gateways' log, what became of the requests and by which step they were lost. */
+/**
+ * `bench losses`: reads the log of the gateways and counts the outcomes of
+ * their requests, with the step that made the late ones late.
+ */
 import { createReadStream } from "node:fs";
 import { createInterface } from "node:readline";
 import { type LogRecord, parseLogLine } from "../../src/cli/request_trace.ts";
 import type { Subcommand, SubcommandArguments } from "../subcommand.ts";
-import { countLosses, formatLossRow, sumByRoute } from "./request_losses.ts";
+import {
+  countOutcomes,
+  formatOutcomeRow,
+  sumByRoute,
+} from "./request_losses.ts";
 
 export const lossesCommand: Subcommand = {
   name: "losses",
@@ -13,11 +20,11 @@
     { flags: "--route", description: "Print this route second by second" },
   ],
   run: async (options: SubcommandArguments) => {
-    const rows = countLosses(await readLog(String(options.log)));
-    const chosen = options.route === undefined
+    const rows = countOutcomes(await readLog(String(options.log)));
+    const selectedRows = options.route === undefined
       ? sumByRoute(rows)
       : rows.filter((row) => row.route === options.route);
-    for (const row of chosen) console.log(formatLossRow(row));
+    for (const row of selectedRows) console.log(formatOutcomeRow(row));
   },
 };
 
--- a/bench/losses/request_losses.ts
+++ b/bench/losses/request_losses.ts
@@ -1,12 +1,13 @@
 /**
- * Sorts the requests of a gateways' log by what became of them and by the step that
- * cost most: which of them were late, refused or failed, in which second and why.
+ * Classifies the requests in the log of the gateways by outcome: on time, late,
+ * refused or failed, late ones by the step that took most of the time. Counts
+ * them by route and second of arrival.
  */
 import * as z from "zod";
 import type { LogRecord } from "../../src/cli/request_trace.ts";
 
-/** What the last line of one request says. */
-const conclusionSchema = z.object({
+/** The last log record of a request, which gives its outcome. */
+const outcomeRecordSchema = z.object({
   time: z.string(),
   event: z.enum(["requestServed", "requestDecision"]),
   route: z.string(),
@@ -18,50 +19,56 @@
   elapsedMs: z.number(),
   questions: z.number().default(0),
 });
-type Conclusion = z.infer<typeof conclusionSchema>;
+type OutcomeRecord = z.infer<typeof outcomeRecordSchema>;
 
-/** What became of a request; late ones by the step that took longer. */
-export const Loss = {
-  InTime: "in time",
-  LateWaiting: "late: waited for a place",
+/** Outcome of a request; late ones by the step that took longer. */
+export const RequestOutcome = {
+  OnTime: "in time",
+  LateBeforeDispatch: "late: waited for a place",
   LateAtUpstream: "late: upstream's first event",
-  LateInFull: "late: whole answer",
+  LateWholeResponse: "late: whole answer",
   Refused: "refused",
-  Stretched: "failed: not done by its deadline",
-  Cut: "failed: broken off",
-  Failed: "failed by its upstream",
+  DeadlineExceeded: "failed: not done by its deadline",
+  ResponseInterrupted: "failed: broken off",
+  UpstreamError: "failed by its upstream",
 } as const;
-export type Loss = (typeof Loss)[keyof typeof Loss];
+export type RequestOutcome =
+  (typeof RequestOutcome)[keyof typeof RequestOutcome];
 
-/** The requests of one route that came in one second. */
-export interface LossRow {
+/** The requests of one route that arrived within one second. */
+export interface OutcomeRow {
   route: string;
-  /** Seconds since the first request of the log. */
+  /** Seconds from the arrival of the first logged request; -1 in a sum. */
   second: number;
   requests: number;
-  counts: Map<Loss, number>;
-  /** Questions for a place that were asked for them. */
-  questions: number;
+  counts: Map<RequestOutcome, number>;
+  /** Permits requested for them, and assignments without a permit. */
+  permitCount: number;
 }
 
-/** Counts the concluded requests of a log by route and second of their arrival, in this order. */
-export function countLosses(records: readonly LogRecord[]): LossRow[] {
-  const concluded = records.flatMap((record) => {
-    const { data } = conclusionSchema.safeParse(record);
-    return data ? [{ ...data, arrivedAt: getArrival(data) }] : [];
+/**
+ * Counts the requests whose outcome is in the log, sorted by route and second
+ * of arrival.
+ */
+export function countOutcomes(records: readonly LogRecord[]): OutcomeRow[] {
+  const outcomeRecords = records.flatMap((record) => {
+    const { data } = outcomeRecordSchema.safeParse(record);
+    return data ? [{ ...data, arrivedAt: computeArrivalTime(data) }] : [];
   });
-  const startedAt = Math.min(...concluded.map((each) => each.arrivedAt));
-  const rows = new Map<string, LossRow>();
-  for (const conclusion of concluded) {
-    const second = Math.floor((conclusion.arrivedAt - startedAt) / 1_000);
-    const { route } = conclusion;
+  const startedAt = Math.min(
+    ...outcomeRecords.map((record) => record.arrivedAt),
+  );
+  const rows = new Map<string, OutcomeRow>();
+  for (const outcomeRecord of outcomeRecords) {
+    const second = Math.floor((outcomeRecord.arrivedAt - startedAt) / 1_000);
+    const { route } = outcomeRecord;
     const key = `${route} ${second}`;
     const row = rows.get(key) ??
-      { route, second, requests: 0, counts: new Map(), questions: 0 };
-    const loss = classifyLoss(conclusion);
+      { route, second, requests: 0, counts: new Map(), permitCount: 0 };
+    const outcome = classifyOutcome(outcomeRecord);
     row.requests += 1;
-    row.questions += conclusion.questions;
-    row.counts.set(loss, (row.counts.get(loss) ?? 0) + 1);
+    row.permitCount += outcomeRecord.questions;
+    row.counts.set(outcome, (row.counts.get(outcome) ?? 0) + 1);
     rows.set(key, row);
   }
   return [...rows.values()].sort((a, b) =>
@@ -69,59 +76,63 @@
   );
 }
 
-/** Adds up the rows of each route. */
-export function sumByRoute(rows: readonly LossRow[]): LossRow[] {
-  const sums = new Map<string, LossRow>();
+/** Sums the rows of each route over time, the busiest route first. */
+export function sumByRoute(rows: readonly OutcomeRow[]): OutcomeRow[] {
+  const sums = new Map<string, OutcomeRow>();
   for (const row of rows) {
     const sum = sums.get(row.route) ??
-      { ...row, second: -1, requests: 0, counts: new Map(), questions: 0 };
+      { ...row, second: -1, requests: 0, counts: new Map(), permitCount: 0 };
     sum.requests += row.requests;
-    sum.questions += row.questions;
-    for (const [loss, count] of row.counts) {
-      sum.counts.set(loss, (sum.counts.get(loss) ?? 0) + count);
+    sum.permitCount += row.permitCount;
+    for (const [outcome, count] of row.counts) {
+      sum.counts.set(outcome, (sum.counts.get(outcome) ?? 0) + count);
     }
     sums.set(row.route, sum);
   }
   return [...sums.values()].sort((a, b) => b.requests - a.requests);
 }
 
-/** Returns a row as one line; what did not happen is left out. */
-export function formatLossRow(row: LossRow): string {
+/** Returns a row as one line of text, without the outcomes that are 0. */
+export function formatOutcomeRow(row: OutcomeRow): string {
   const name = row.second < 0 ? row.route : `${row.route} ${row.second} s`;
-  const counts = Object.values(Loss).flatMap((loss) => {
-    const count = row.counts.get(loss);
-    return count === undefined ? [] : [`${loss} ${count}`];
+  const counts = Object.values(RequestOutcome).flatMap((outcome) => {
+    const count = row.counts.get(outcome);
+    return count === undefined ? [] : [`${outcome} ${count}`];
   });
-  const questions = (row.questions / row.requests).toFixed(2);
+  const permitCount = (row.permitCount / row.requests).toFixed(2);
   return `${name}: ${row.requests} requests, ${counts.join(", ")}; ` +
-    `${questions} questions each`;
+    `${permitCount} questions each`;
 }
 
-function classifyLoss(conclusion: Conclusion): Loss {
-  const { verdict, reason } = conclusion;
+function classifyOutcome(outcomeRecord: OutcomeRecord): RequestOutcome {
+  const { verdict, reason } = outcomeRecord;
   switch (verdict) {
     case "refuse":
-      return Loss.Refused;
+      return RequestOutcome.Refused;
     case "fail":
-      return reason === "deadline" ? Loss.Stretched : Loss.Cut;
+      return reason === "deadline"
+        ? RequestOutcome.DeadlineExceeded
+        : RequestOutcome.ResponseInterrupted;
     case "deliver":
       return /^status [45]/.test(reason)
-        ? Loss.Failed
-        : classifyDelivered(conclusion);
+        ? RequestOutcome.UpstreamError
+        : classifyDelivered(outcomeRecord);
   }
 }
 
-function classifyDelivered(conclusion: Conclusion): Loss {
-  const { objectiveMs, elapsedMs, firstByteMs, sentMs } = conclusion;
+function classifyDelivered(outcomeRecord: OutcomeRecord): RequestOutcome {
+  const { objectiveMs, elapsedMs, firstByteMs, sentMs } = outcomeRecord;
   if (firstByteMs === null || firstByteMs === undefined) {
-    return elapsedMs <= objectiveMs ? Loss.InTime : Loss.LateInFull;
+    return elapsedMs <= objectiveMs
+      ? RequestOutcome.OnTime
+      : RequestOutcome.LateWholeResponse;
   }
-  if (firstByteMs <= objectiveMs) return Loss.InTime;
+  if (firstByteMs <= objectiveMs) return RequestOutcome.OnTime;
   return (sentMs ?? 0) > firstByteMs / 2
-    ? Loss.LateWaiting
-    : Loss.LateAtUpstream;
+    ? RequestOutcome.LateBeforeDispatch
+    : RequestOutcome.LateAtUpstream;
 }
 
-function getArrival({ time, elapsedMs }: Conclusion): number {
+function computeArrivalTime({ time, elapsedMs }: OutcomeRecord): number {
   return Date.parse(time) - elapsedMs;
 }
--- a/test/bench/losses/request_losses_test.ts
+++ b/test/bench/losses/request_losses_test.ts
@@ -1,10 +1,13 @@
-/** Requests of a log sorted by what became of them: each counted once, in the second of its arrival. */
+/**
+ * Requests of a log by outcome: each is counted once, in the second of its
+ * arrival.
+ */
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  countLosses,
-  formatLossRow,
-  Loss,
+  countOutcomes,
+  formatOutcomeRow,
+  RequestOutcome,
   sumByRoute,
 } from "../../../bench/losses/request_losses.ts";
 import type { LogRecord } from "../../../src/cli/request_trace.ts";
@@ -46,31 +49,31 @@
   createRecord(2_700, { event: "placeDenied" }),
 ];
 
-test("each concluded request is counted once, by the step that cost most", () => {
-  const [chat, book] = sumByRoute(countLosses(RECORDS));
+test("counts each request with an outcome once; late ones by the slower step", () => {
+  const [chat, book] = sumByRoute(countOutcomes(RECORDS));
   assert.is(chat?.requests, 7);
   assert.equal(
     chat?.counts,
     new Map([
-      [Loss.InTime, 1],
-      [Loss.LateWaiting, 1],
-      [Loss.LateAtUpstream, 1],
-      [Loss.Refused, 1],
-      [Loss.Stretched, 1],
-      [Loss.Cut, 1],
-      [Loss.Failed, 1],
+      [RequestOutcome.OnTime, 1],
+      [RequestOutcome.LateBeforeDispatch, 1],
+      [RequestOutcome.LateAtUpstream, 1],
+      [RequestOutcome.Refused, 1],
+      [RequestOutcome.DeadlineExceeded, 1],
+      [RequestOutcome.ResponseInterrupted, 1],
+      [RequestOutcome.UpstreamError, 1],
     ]),
   );
-  assert.is(chat?.questions, 9);
-  assert.equal(book?.counts, new Map([[Loss.LateInFull, 1]]));
+  assert.is(chat?.permitCount, 9);
+  assert.equal(book?.counts, new Map([[RequestOutcome.LateWholeResponse, 1]]));
 });
 
-test("seconds count from the first arrival", () => {
-  const rows = countLosses(RECORDS).filter((row) => row.route === "chat");
+test("counts seconds from the arrival of the first request", () => {
+  const rows = countOutcomes(RECORDS).filter((row) => row.route === "chat");
   assert.equal(rows.map((row) => [row.second, row.requests]), [[0, 3], [2, 4]]);
   const [first] = rows;
   assert.is(
-    first && formatLossRow(first),
+    first && formatOutcomeRow(first),
     "chat 0 s: 3 requests, in time 1, late: waited for a place 1, " +
       "late: upstream's first event 1; 1.67 questions each",
   );
