--- a/bench/report/day_figures.ts
+++ b/bench/report/day_figures.ts
@@ -1,27 +1,28 @@
-/** Figures of played days, in the form in which the report draws them. */
+/** Figures of benchmark days, in the form that the report draws. */
 
-/** How the requests of one kind, failure domain or span of time ended. */
+/** Outcomes of the requests of one kind, failure domain or time span. */
 export interface EndingShares {
-  /** Kind, failure domain, or second from which the span counts. */
+  /** Kind, failure domain, or second at which the time span starts. */
   name: string;
   asked: number;
   inObjective: number;
   late: number;
   refused: number;
   failed: number;
-  /** Part of what could be earned that was, 0 to 1. */
+  /** Earned score as a fraction of the best possible one, 0 to 1. */
   worth: number;
 }
 
+/** A cost of the day, such as a number of calls, and its deduction. */
 export interface Price {
   name: string;
   /** In the unit that the name gives. */
   amount: number;
-  /** What it takes off the day's worth. */
+  /** Deduction from the day's score. */
   worth: number;
 }
 
-/** One day in full. */
+/** The full report of one benchmark day. */
 export interface DayFigures {
   name: string;
   worth: number;
@@ -32,12 +33,12 @@
   spans: EndingShares[];
 }
 
-/** One run of the bench, as its journal keeps it. */
+/** One benchmark run, as the journal stores it. */
 export interface RunFigures {
   startedAt: string;
-  /** Commit that was played. */
+  /** Commit that was measured. */
   commit: string;
-  /** Whether the sources differed from it. */
+  /** Whether the work tree differed from that commit. */
   isDirty: boolean;
   why: string;
   site: string;
--- a/bench/report/report_command.ts
+++ b/bench/report/report_command.ts
@@ -1,4 +1,7 @@
-/** `bench report`: draws the journal of played days, and reports of single ones, as a page. */
+/**
+ * `bench report`: writes an HTML page of the journal of benchmark runs and of
+ * the reports of single days.
+ */
 import { mkdirSync, writeFileSync } from "node:fs";
 import { basename, dirname } from "node:path";
 import { readDayReport, readJournal } from "../../platform/bench_records.ts";
--- a/bench/report/report_page.ts
+++ b/bench/report/report_page.ts
@@ -1,7 +1,8 @@
 /**
- * Draws figures of played days as one HTML page with SVG pictures: worth by commit,
- * and for each day its prices and how its requests ended, by kind, failure domain
- * and second. What binds a day is read from it.
+ * Formats the figures of benchmark days as one HTML page with SVG charts: the
+ * score by commit, and for each day its prices and the outcomes of its requests
+ * by kind, failure domain and second. The charts show what limits the score of
+ * a day.
  */
 import type { DayFigures, EndingShares, RunFigures } from "./day_figures.ts";
 
@@ -10,7 +11,7 @@
 const LABEL_WIDTH = 260;
 const HISTORY_HEIGHT = 320;
 const MARGIN = 30;
-/** Space for a commit's name below the history. */
+/** Space for the commit ids below the history chart. */
 const COMMIT_HEIGHT = 60;
 const COLORS = [
   "#1b6ca8",
@@ -22,14 +23,14 @@
   "#d81b60",
   "#009688",
 ];
-const ENDING_COLORS = {
+const OUTCOME_COLORS = {
   inObjective: "#3a7d44",
   late: "#e0b034",
   refused: "#8f5db7",
   failed: "#c8553d",
 } as const;
-type Ending = keyof typeof ENDING_COLORS;
-const ENDINGS = Object.keys(ENDING_COLORS) as Ending[];
+type Outcome = keyof typeof OUTCOME_COLORS;
+const OUTCOMES = Object.keys(OUTCOME_COLORS) as Outcome[];
 
 export function formatReportPage(
   runs: readonly RunFigures[],
@@ -41,14 +42,17 @@
     "<style>body{font:13px sans-serif;margin:2em}svg text{font:11px sans-serif}</style>",
     ...sites.map((site) =>
       `<h2>${encodeMarkup(site)}: worth by run</h2>` +
-      formatHistory(runs.filter((run) => run.site === site))
+      formatHistoryChart(runs.filter((run) => run.site === site))
     ),
     ...days.map(formatDay),
   ].join("\n");
 }
 
-/** Draws the worth of each day over the runs, a line a day; a hollow point is of sources not committed. */
-export function formatHistory(runs: readonly RunFigures[]): string {
+/**
+ * Draws the score of each day over the runs, with one line per day. A hollow
+ * point marks a run whose sources were not committed.
+ */
+export function formatHistoryChart(runs: readonly RunFigures[]): string {
   const names = [
     ...new Set(runs.flatMap((run) => run.days.map((day) => day.name))),
   ].sort();
@@ -57,8 +61,8 @@
   const toX = (index: number) => MARGIN + index * step;
   const toY = (worth: number) =>
     bottom - Math.max(0, Math.min(1, worth)) * (bottom - MARGIN);
-  const lines = names.map((name, order) => {
-    const color = COLORS[order % COLORS.length] ?? "black";
+  const lines = names.map((name, series) => {
+    const color = COLORS[series % COLORS.length] ?? "black";
     const points = runs.flatMap((run, index) =>
       run.days.filter((day) => day.name === name).map((day) => ({
         x: toX(index),
@@ -68,11 +72,11 @@
       }))
     );
     return formatLine(points, color) +
-      `<text x='${MARGIN + order * 105}' y='14' fill='${color}'>${
+      `<text x='${MARGIN + series * 105}' y='14' fill='${color}'>${
         encodeMarkup(name)
       }</text>`;
   });
-  const scale = [0, 0.25, 0.5, 0.75, 1].map((worth) =>
+  const gridLines = [0, 0.25, 0.5, 0.75, 1].map((worth) =>
     `<line x1='${MARGIN}' x2='${WIDTH - MARGIN}' y1='${toY(worth)}' y2='${
       toY(worth)
     }' stroke='#ddd'/><text x='2' y='${toY(worth) + 4}'>${worth}</text>`
@@ -82,10 +86,10 @@
       encodeMarkup(run.commit.slice(0, 7))
     }</text>`
   );
-  return formatSvg(HISTORY_HEIGHT, [...scale, ...lines, ...commits]);
+  return formatSvg(HISTORY_HEIGHT, [...gridLines, ...lines, ...commits]);
 }
 
-/** Draws one day: its parts, its prices, and the ends of its requests. */
+/** Formats one day: the parts of its score, prices and request outcomes. */
 export function formatDay(day: DayFigures): string {
   const parts = day.parts.map(({ name, weight, worth }) =>
     `${encodeMarkup(name)} ${worth.toFixed(3)} (${weight})`
@@ -95,55 +99,63 @@
       day.worth.toFixed(3)
     }</h2><p>${parts}</p>`,
     "<h3>Prices</h3>",
-    formatPrices(day),
+    formatPriceChart(day),
     "<h3>Kinds of request</h3>",
-    formatShares(day.kinds),
+    formatOutcomeChart(day.kinds),
     "<h3>Failure domains</h3>",
-    formatShares(day.failureDomains),
+    formatOutcomeChart(day.failureDomains),
     "<h3>From second</h3>",
-    formatShares(day.spans),
+    formatOutcomeChart(day.spans),
   ].join("\n");
 }
 
-function formatPrices({ prices }: DayFigures): string {
-  const paid = prices.filter((price) => price.worth > 0)
+function formatPriceChart({ prices }: DayFigures): string {
+  const nonzeroPrices = prices.filter((price) => price.worth > 0)
     .sort((a, b) => b.worth - a.worth);
-  const most = Math.max(1e-9, ...paid.map((price) => price.worth));
-  const room = WIDTH - LABEL_WIDTH - 2 * MARGIN;
+  const maxWorth = Math.max(1e-9, ...nonzeroPrices.map((price) => price.worth));
+  const chartWidth = WIDTH - LABEL_WIDTH - 2 * MARGIN;
   return formatSvg(
-    paid.length * ROW_HEIGHT,
-    paid.map(({ name, amount, worth }, row) =>
+    nonzeroPrices.length * ROW_HEIGHT,
+    nonzeroPrices.map(({ name, amount, worth }, row) =>
       formatLabel(`${name} (${amount})`, row) +
-      formatBar(LABEL_WIDTH, room * worth / most, row, COLORS[0] ?? "") +
-      `<text x='${LABEL_WIDTH + room * worth / most + 4}' y='${
+      formatBar(
+        LABEL_WIDTH,
+        chartWidth * worth / maxWorth,
+        row,
+        COLORS[0] ?? "",
+      ) +
+      `<text x='${LABEL_WIDTH + chartWidth * worth / maxWorth + 4}' y='${
         row * ROW_HEIGHT + 13
       }'>${worth.toFixed(4)}</text>`
     ),
   );
 }
 
-/** Draws stacked bars, each as long as what was asked against the most of all. */
-export function formatShares(shares: readonly EndingShares[]): string {
-  const most = Math.max(1, ...shares.map((each) => each.asked));
-  const room = WIDTH - LABEL_WIDTH - 2 * MARGIN;
-  const key = ENDINGS.map((ending, order) =>
-    `<text x='${LABEL_WIDTH + order * 110}' y='13' fill='${
-      ENDING_COLORS[ending]
-    }'>${ending}</text>`
+/**
+ * Draws a stacked bar of outcomes for each share, with a length in proportion
+ * to its number of requests.
+ */
+export function formatOutcomeChart(shares: readonly EndingShares[]): string {
+  const maxAsked = Math.max(1, ...shares.map((each) => each.asked));
+  const chartWidth = WIDTH - LABEL_WIDTH - 2 * MARGIN;
+  const legend = OUTCOMES.map((outcome, series) =>
+    `<text x='${LABEL_WIDTH + series * 110}' y='13' fill='${
+      OUTCOME_COLORS[outcome]
+    }'>${outcome}</text>`
   );
-  const rows = shares.map((each, index) => {
+  const rows = shares.map((share, index) => {
     const row = index + 1;
     let x = LABEL_WIDTH;
-    const bars = ENDINGS.map((ending) => {
-      const width = room * each[ending] / most;
-      const bar = formatBar(x, width, row, ENDING_COLORS[ending]);
+    const bars = OUTCOMES.map((outcome) => {
+      const width = chartWidth * share[outcome] / maxAsked;
+      const bar = formatBar(x, width, row, OUTCOME_COLORS[outcome]);
       x += width;
       return bar;
     });
-    return formatLabel(`${each.name}: ${each.worth.toFixed(3)}`, row) +
+    return formatLabel(`${share.name}: ${share.worth.toFixed(3)}`, row) +
       bars.join("");
   });
-  return formatSvg((shares.length + 1) * ROW_HEIGHT, [...key, ...rows]);
+  return formatSvg((shares.length + 1) * ROW_HEIGHT, [...legend, ...rows]);
 }
 
 function formatLine(
@@ -177,9 +189,9 @@
   }' fill='${color}'/>`;
 }
 
-function formatSvg(height: number, pieces: readonly string[]): string {
+function formatSvg(height: number, elements: readonly string[]): string {
   return `<svg xmlns='http://www.w3.org/2000/svg' width='${WIDTH}' height='${height}'>${
-    pieces.join("")
+    elements.join("")
   }</svg>`;
 }
 
--- a/test/bench/report/report_page_test.ts
+++ b/test/bench/report/report_page_test.ts
@@ -1,13 +1,13 @@
-/** The report of played days: what the bench leaves is read, and what was read is drawn. */
+/** The report of benchmark days: reads the stored records and draws them. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
 import {
-  formatHistory,
+  formatHistoryChart,
+  formatOutcomeChart,
   formatReportPage,
-  formatShares,
 } from "../../../bench/report/report_page.ts";
 import { readDayReport, readJournal } from "../../../platform/bench_records.ts";
 
@@ -32,32 +32,32 @@
   };
 }
 
-function writeRecords(use: (folder: string) => void): void {
+function useTempFolder(run: (folder: string) => void): void {
   const folder = mkdtempSync(join(tmpdir(), "pistachiohatch-report-"));
   try {
-    use(folder);
+    run(folder);
   } finally {
     rmSync(folder, { recursive: true });
   }
 }
 
-test("reads the journal oldest first, without days that were not played out", () => {
-  writeRecords((folder) => {
-    const put = (name: string, value: object) =>
+test("reads the journal oldest first and leaves out days without a score", () => {
+  useTempFolder((folder) => {
+    const writeRecord = (name: string, value: object) =>
       writeFileSync(join(folder, name), JSON.stringify(value));
-    put("2-b.json", createEntry("later", null));
-    put("1-a.json", createEntry("earlier", 0.5));
+    writeRecord("2-b.json", createEntry("later", null));
+    writeRecord("1-a.json", createEntry("earlier", 0.5));
     assert.equal(
       readJournal(folder).map((run) => [run.startedAt, run.days]),
       [["earlier", [{ name: "day-1", worth: 0.5 }]], ["later", []]],
     );
-    put("3-c.json", { at: [] });
+    writeRecord("3-c.json", { at: [] });
     assert.throws(() => readJournal(folder), /3-c\.json/);
   });
 });
 
-test("draws a day with its prices and ends, and escapes names", () => {
-  writeRecords((folder) => {
+test("draws a day with its prices and outcomes, and escapes names", () => {
+  useTempFolder((folder) => {
     const file = join(folder, "day.json");
     writeFileSync(
       file,
@@ -80,12 +80,14 @@
   });
 });
 
-test("bars are as long as the counts, points as high as the worth", () => {
+test("bar lengths follow the counts, point heights follow the score", () => {
   const [shares] = [{ ...SHARES, asked: 10, inObjective: 5 }];
-  const widths = [...formatShares([shares]).matchAll(/ width='([\d.]+)' h/g)]
+  const widths = [
+    ...formatOutcomeChart([shares]).matchAll(/ width='([\d.]+)' h/g),
+  ]
     .map((match) => Number(match[1])).slice(1);
   assert.equal(widths.map((width) => width / (widths[3] ?? 1)), [5, 2, 2, 1]);
-  const history = formatHistory([
+  const history = formatHistoryChart([
     {
       startedAt: "t",
       commit: "abc",
