--- a/bench/policy/deployment_tables.ts
+++ b/bench/policy/deployment_tables.ts
@@ -1,4 +1,4 @@
-/** The host list and the tables of a deployment. */
+/** Creates the host list and the tables of a benchmark deployment. */
 import {
   Fencing,
   HostRole,
@@ -8,16 +8,20 @@
   Priority,
   type TablesStructure,
 } from "../../src/core/structures.ts";
-import { type Deployment, getCustomerOf, getPriorityOf } from "./workloads.ts";
+import {
+  type Deployment,
+  getAdapterCustomer,
+  getAdapterPriority,
+} from "./workloads.ts";
 
 export const MAX_RUN_MS = 30_000;
-/** Calls that a plain service takes at once. */
-export const SERVICE_BATCH = 32;
+/** Number of concurrent calls that a plain service accepts. */
+export const SERVICE_BATCH_SIZE = 32;
 
-/** Returns the hosts of a deployment as the platform lists them. */
+/** Returns the hosts of a deployment, as in the platform's host list. */
 export function createHosts(deployment: Deployment): HostStructure[] {
   const hosts: HostStructure[] = [];
-  const add = (service: string, counts: readonly number[]) => {
+  const addHosts = (service: string, counts: readonly number[]) => {
     for (const [domain, count] of counts.entries()) {
       for (let index = 0; index < count; index += 1) {
         const failureDomain = deployment.failureDomains[domain]!;
@@ -33,13 +37,16 @@
       }
     }
   };
-  add("", deployment.daemonsByDomain);
-  add(deployment.engineService, deployment.enginesByDomain);
-  add(deployment.plainService, deployment.servicesByDomain);
+  addHosts("", deployment.daemonsByDomain);
+  addHosts(deployment.engineService, deployment.enginesByDomain);
+  addHosts(deployment.plainService, deployment.servicesByDomain);
   return hosts;
 }
 
-/** Returns one route for each adapter, and one for each customer to the plain service. */
+/**
+ * Returns the tables of a deployment: one route for each adapter, and one to
+ * the plain service for each customer.
+ */
 export function createTables(deployment: Deployment): TablesStructure {
   const { customers, engineService, plainService } = deployment;
   const pool = {
@@ -71,15 +78,15 @@
       service: plainService,
       baseModel: "",
       slots: 0,
-      batchSize: SERVICE_BATCH,
+      batchSize: SERVICE_BATCH_SIZE,
     }],
     routes: [
       ...Array.from({ length: deployment.adapters }, (_, adapter) => {
-        const priority = getPriorityOf(adapter);
+        const priority = getAdapterPriority(adapter);
         return {
           ...route,
           name: `route-${adapter}`,
-          customer: getCustomerOf(adapter, deployment),
+          customer: getAdapterCustomer(adapter, deployment),
           pool: engineService,
           adapter: `adapter-${adapter}`,
           version: "1",
--- a/bench/policy/event_heap.ts
+++ b/bench/policy/event_heap.ts
@@ -1,23 +1,26 @@
-/** Virtual time: a heap of actions, run in the order of their times. */
+/** Event queue of a simulation in virtual time: a binary heap of actions. */
 
-interface TimedAction {
+interface ScheduledAction {
   at: number;
   sequence: number;
   run: (now: number) => void;
 }
 
 export class EventHeap {
-  readonly #heap: TimedAction[] = [];
+  readonly #heap: ScheduledAction[] = [];
   #sequence = 0;
 
-  /** Adds an action; those of one time run in the order in which they were added. */
-  add(at: number, run: (now: number) => void): void {
+  /**
+   * Schedules an action. Actions of the same time run in the order in which
+   * they were scheduled.
+   */
+  schedule(at: number, run: (now: number) => void): void {
     this.#sequence += 1;
     this.#heap.push({ at, sequence: this.#sequence, run });
     this.#moveUp(this.#heap.length - 1);
   }
 
-  /** Runs every action before the end. */
+  /** Runs all actions whose time is before the end, in order of time. */
   runUntil(end: number): void {
     for (
       let action = this.#takeFirst(end);
@@ -28,7 +31,7 @@
     }
   }
 
-  #takeFirst(end: number): TimedAction | undefined {
+  #takeFirst(end: number): ScheduledAction | undefined {
     const first = this.#heap[0];
     if (first === undefined || first.at >= end) return undefined;
     const last = this.#heap.pop();
@@ -44,7 +47,7 @@
     while (index > 0) {
       const parent = (index - 1) >> 1;
       if (!this.#isBefore(index, parent)) return;
-      this.#changePlaces(index, parent);
+      this.#swap(index, parent);
       index = parent;
     }
   }
@@ -60,7 +63,7 @@
         first = right;
       }
       if (first === index) return;
-      this.#changePlaces(index, first);
+      this.#swap(index, first);
       index = first;
     }
   }
@@ -72,9 +75,9 @@
       (first.at === second.at && first.sequence < second.sequence);
   }
 
-  #changePlaces(a: number, b: number): void {
-    const kept = this.#heap[a]!;
+  #swap(a: number, b: number): void {
+    const action = this.#heap[a]!;
     this.#heap[a] = this.#heap[b]!;
-    this.#heap[b] = kept;
+    this.#heap[b] = action;
   }
 }
--- a/bench/policy/fakes.ts
+++ b/bench/policy/fakes.ts
@@ -1,4 +1,7 @@
-/** Models of the weight store and of engines in virtual time, for measuring decisions. */
+/**
+ * Models of the weight store and of engines in virtual time, for benchmarks of
+ * scheduling decisions.
+ */
 import type { OrderResult } from "../../src/core/events.ts";
 import type { AttemptResult } from "../../src/core/outcomes.ts";
 import type {
@@ -7,45 +10,60 @@
 } from "../../src/core/structures.ts";
 import type { EventHeap } from "./event_heap.ts";
 
-/** How the brief's line on the store is read. */
-export const StoreReading = { Rate: "rate", InFlight: "inflight" } as const;
-export type StoreReading = (typeof StoreReading)[keyof typeof StoreReading];
+/**
+ * The two interpretations of the specified limit of the weight store: `Rate`
+ * limits load starts of all engines together, `InFlight` those of each engine.
+ */
+export const StoreLimitMode = { Rate: "rate", InFlight: "inflight" } as const;
+export type StoreLimitMode =
+  (typeof StoreLimitMode)[keyof typeof StoreLimitMode];
 
 const LOAD_TIME_MS = 250;
-const FULL_SPEED_LOADS = 8;
+const FULL_SPEED_CONCURRENT_LOADS = 8;
 
 export class FakeStore {
   readonly #heap: EventHeap;
   readonly #loadsPerSecond: number;
-  readonly #reading: StoreReading;
+  readonly #limitMode: StoreLimitMode;
   readonly #nextStartAt = new Map<string, number>();
   #inFlight = 0;
   loads = 0;
-  /** Most loads in flight at once. */
+  /** Maximum number of concurrent loads. */
   maxInFlight = 0;
 
   constructor(heap: EventHeap, options: {
     loadsPerSecond: number;
-    reading: StoreReading;
+    limitMode: StoreLimitMode;
   }) {
     this.#heap = heap;
     this.#loadsPerSecond = options.loadsPerSecond;
-    this.#reading = options.reading;
+    this.#limitMode = options.limitMode;
   }
 
-  /** Transfers one adapter: starts are spaced by the rate of all, or of the engine alone. */
-  load(engineId: string, now: number, done: (now: number) => void): void {
-    const line = this.#reading === StoreReading.Rate ? "" : engineId;
-    const startAt = Math.max(now, this.#nextStartAt.get(line) ?? 0);
-    this.#nextStartAt.set(line, startAt + 1_000 / this.#loadsPerSecond);
-    this.#heap.add(startAt, (start) => {
+  /**
+   * Loads one adapter. Starts are spaced by the specified rate, over all
+   * engines or for each engine alone. Beyond 8 concurrent loads each of them
+   * slows down.
+   */
+  load(
+    engineId: string,
+    now: number,
+    reportLoaded: (now: number) => void,
+  ): void {
+    const queueKey = this.#limitMode === StoreLimitMode.Rate ? "" : engineId;
+    const startAt = Math.max(now, this.#nextStartAt.get(queueKey) ?? 0);
+    this.#nextStartAt.set(queueKey, startAt + 1_000 / this.#loadsPerSecond);
+    this.#heap.schedule(startAt, (start) => {
       this.loads += 1;
       this.#inFlight += 1;
       this.maxInFlight = Math.max(this.maxInFlight, this.#inFlight);
-      const slowdown = Math.max(1, this.#inFlight / FULL_SPEED_LOADS);
-      this.#heap.add(start + LOAD_TIME_MS * slowdown, (end) => {
+      const slowdown = Math.max(
+        1,
+        this.#inFlight / FULL_SPEED_CONCURRENT_LOADS,
+      );
+      this.#heap.schedule(start + LOAD_TIME_MS * slowdown, (end) => {
         this.#inFlight -= 1;
-        done(end);
+        reportLoaded(end);
       });
     });
   }
@@ -53,7 +71,7 @@
 
 export interface EngineRun {
   attemptId: string;
-  /** Empty on a plain service. */
+  /** Empty for a plain service. */
   adapterKey: string;
   tokensLeft: number;
   hasStarted: boolean;
@@ -68,19 +86,23 @@
   batchSize: number;
   heap: EventHeap;
   store: FakeStore;
-  /** Decides whether the next load fails. */
+  /** Returns whether the next load fails. */
   isLoadFailing: () => boolean;
-  /** Steps before this time are not counted. */
+  /** Time from which decoding steps are counted. */
   measureFrom: number;
 }
 
 const STEP_MS = 24;
 const STEP_PER_RUN_MS = 0.5;
 const PREFILL_MS = 15;
-const REPORT_LAG_MS = 300;
+/** Age of the counts of running requests in the reported state. */
+const STATE_DELAY_MS = 300;
 const SNAPSHOT_INTERVAL_MS = 100;
 
-/** Batches continuously; a plain service is an engine without slots. */
+/**
+ * An engine with continuous batching; a plain service is an engine without
+ * adapter slots.
+ */
 export class FakeEngine {
   readonly #options: FakeEngineOptions;
   readonly #residents = new Set<string>();
@@ -91,13 +113,14 @@
   #isStepping = false;
   isUp = true;
   steps = 0;
-  filledSteps = 0;
-  /** Adapters evicted while a run was on them; must stay 0. */
+  /** Sum over the steps of the fraction of the batch in use. */
+  batchFillSum = 0;
+  /** Number of adapters evicted while a run was using them; must stay 0. */
   unsafeEvictions = 0;
 
   constructor(options: FakeEngineOptions) {
     this.#options = options;
-    options.heap.add(0, this.#takeSnapshot);
+    options.heap.schedule(0, this.#takeSnapshot);
   }
 
   get host(): HostStructure {
@@ -126,12 +149,15 @@
     run?.reportEnd({ kind: "cancelled" }, now);
   }
 
-  /** Ends the runs of callers that are cut off. */
-  loseRuns(isLost: (attemptId: string) => boolean, now: number): void {
+  /** Ends the runs of callers that a partition separates from the engine. */
+  interruptRuns(
+    isAffected: (attemptId: string) => boolean,
+    now: number,
+  ): void {
     for (const run of [...this.#runs]) {
-      if (!isLost(run.attemptId)) continue;
+      if (!isAffected(run.attemptId)) continue;
       this.#runs.splice(this.#runs.indexOf(run), 1);
-      this.#endLost(run, now);
+      this.#endInterrupted(run, now);
     }
   }
 
@@ -139,23 +165,26 @@
     order: { kind: string; adapterKey?: string },
     fencing: number,
     now: number,
-    done: (result: OrderResult, now: number) => void,
+    report: (result: OrderResult, now: number) => void,
   ): void {
-    if (!this.isUp) return done({ kind: "unknown", detail: "down" }, now);
+    if (!this.isUp) return report({ kind: "unknown", detail: "down" }, now);
     if (fencing < this.#fencing) {
-      return done({ kind: "refusedByFencing", fencing: this.#fencing }, now);
+      return report(
+        { kind: "refusedByFencing", fencing: this.#fencing },
+        now,
+      );
     }
     this.#fencing = fencing;
     const adapterKey = order.adapterKey ?? "";
-    if (order.kind === "load") return this.#load(adapterKey, now, done);
+    if (order.kind === "load") return this.#load(adapterKey, now, report);
     if (order.kind === "evict") this.#evict(adapterKey);
-    done({ kind: "done" }, now);
+    report({ kind: "done" }, now);
   }
 
   readState(now: number): UpstreamStateStructure | undefined {
     if (!this.isUp) return undefined;
-    const lagged = this.#snapshots.findLast((entry) =>
-      entry.at <= now - REPORT_LAG_MS
+    const delayedCounts = this.#snapshots.findLast((entry) =>
+      entry.at <= now - STATE_DELAY_MS
     )?.inFlight;
     return {
       incarnation: String(this.#incarnation),
@@ -163,20 +192,20 @@
       leaving: false,
       residents: [...this.#residents].map((adapterKey) => ({
         adapterKey,
-        inFlight: lagged?.get(adapterKey) ?? 0,
+        inFlight: delayedCounts?.get(adapterKey) ?? 0,
       })),
       running: this.#runs.length,
     };
   }
 
-  /** Stops with everything lost and comes back empty. */
+  /** Restarts the engine; all runs and loaded adapters are lost. */
   restart(now: number, downMs: number): void {
     this.isUp = false;
     this.#incarnation += 1;
     this.#residents.clear();
     this.#snapshots.length = 0;
-    for (const run of this.#runs.splice(0)) this.#endLost(run, now);
-    this.#options.heap.add(now + downMs, () => {
+    for (const run of this.#runs.splice(0)) this.#endInterrupted(run, now);
+    this.#options.heap.schedule(now + downMs, () => {
       this.isUp = true;
     });
   }
@@ -184,16 +213,16 @@
   #load(
     adapterKey: string,
     now: number,
-    done: (result: OrderResult, now: number) => void,
+    report: (result: OrderResult, now: number) => void,
   ): void {
     const incarnation = this.#incarnation;
     const isFailing = this.#options.isLoadFailing();
     this.#options.store.load(this.host.id, now, (end) => {
-      const isRefused = isFailing || incarnation !== this.#incarnation ||
+      const hasFailed = isFailing || incarnation !== this.#incarnation ||
         this.#residents.size >= this.#options.slots;
-      if (isRefused) return done({ kind: "failed", detail: "load" }, end);
+      if (hasFailed) return report({ kind: "failed", detail: "load" }, end);
       this.#residents.add(adapterKey);
-      done({ kind: "done" }, end);
+      report({ kind: "done" }, end);
     });
   }
 
@@ -204,7 +233,7 @@
     this.#residents.delete(adapterKey);
   }
 
-  #endLost(run: EngineRun, now: number): void {
+  #endInterrupted(run: EngineRun, now: number): void {
     const bytesForwarded = run.hasStarted ? 1 : 0;
     run.reportEnd({ kind: "lost", detail: "cut", bytesForwarded }, now);
   }
@@ -213,17 +242,20 @@
     if (this.#isStepping || this.#runs.length === 0) return;
     this.#isStepping = true;
     const batch = this.#runs.slice(0, this.#options.batchSize);
-    const joined = batch.filter((run) => !run.hasStarted).length;
+    const prefills = batch.filter((run) => !run.hasStarted).length;
     const stepMs = STEP_MS + STEP_PER_RUN_MS * batch.length +
-      PREFILL_MS * joined;
-    this.#options.heap.add(now + stepMs, (end) => this.#endStep(batch, end));
+      PREFILL_MS * prefills;
+    this.#options.heap.schedule(
+      now + stepMs,
+      (end) => this.#endStep(batch, end),
+    );
   }
 
   #endStep(batch: EngineRun[], now: number): void {
     this.#isStepping = false;
     if (now >= this.#options.measureFrom) {
       this.steps += 1;
-      this.filledSteps += batch.length / this.#options.batchSize;
+      this.batchFillSum += batch.length / this.#options.batchSize;
     }
     for (const run of batch) {
       if (!this.#runs.includes(run)) continue;
@@ -244,6 +276,6 @@
     }
     this.#snapshots.push({ at: now, inFlight });
     if (this.#snapshots.length > 8) this.#snapshots.shift();
-    this.#options.heap.add(now + SNAPSHOT_INTERVAL_MS, this.#takeSnapshot);
+    this.#options.heap.schedule(now + SNAPSHOT_INTERVAL_MS, this.#takeSnapshot);
   };
 }
--- a/bench/policy/leases_command.ts
+++ b/bench/policy/leases_command.ts
@@ -1,7 +1,10 @@
-/** `bench leases`: what permits per request cost against leases with credits. */
+/**
+ * `bench leases`: compares the cost of one permit per request with that of
+ * leases that hold several credits.
+ */
 import type { CoreSettings } from "../../src/core/core_settings.ts";
 import type { Subcommand } from "../subcommand.ts";
-import { StoreReading } from "./fakes.ts";
+import { StoreLimitMode } from "./fakes.ts";
 import { computeRow } from "./measures.ts";
 import { createPolicy } from "./policies.ts";
 import { Simulation } from "./simulation.ts";
@@ -15,8 +18,8 @@
 
 const POLICY = "pistachiohatch";
 
-/** Ways to give out batch room. */
-const WAYS: { way: string; settings: Partial<CoreSettings> }[] = [
+/** The compared ways to grant batch capacity. */
+const LEASE_VARIANTS: { way: string; settings: Partial<CoreSettings> }[] = [
   { way: "permit", settings: { maxLeaseCredits: 1, leaseIdleMs: 1 } },
   { way: "credits, returned at once", settings: { leaseIdleMs: 1 } },
   { way: "credits, kept 50 ms", settings: { leaseIdleMs: 50 } },
@@ -62,15 +65,15 @@
       );
     }
     const seed = Number(options["seed"]);
-    const rows = WAYS.map(({ way, settings }) =>
-      measureWay({ deployment, caseName, seed, way, settings })
+    const rows = LEASE_VARIANTS.map(({ way, settings }) =>
+      measureVariant({ deployment, caseName, seed, way, settings })
     );
     if (options["json"]) console.log(JSON.stringify(rows));
     else console.table(rows);
   },
 };
 
-function measureWay(options: {
+function measureVariant(options: {
   deployment: Deployment;
   caseName: CaseName;
   seed: number;
@@ -83,7 +86,7 @@
     deployment,
     workload,
     policy: createPolicy(POLICY, seed),
-    store: StoreReading.Rate,
+    store: StoreLimitMode.Rate,
     seed,
     settings,
   }).run();
--- a/bench/policy/measures.ts
+++ b/bench/policy/measures.ts
@@ -1,14 +1,14 @@
-/** Rows of the bench, computed from what became of each request. */
+/** Computes the rows of the benchmark from the outcomes of its requests. */
 import type { Deployment, WorkloadRequest } from "./workloads.ts";
 
-/** What became of one request. */
+/** Times and outcome of one request. */
 export interface RequestRecord {
   request: WorkloadRequest;
   deadlineMs: number;
-  /** Whether it waited for a load, answered or refused. */
+  /** Whether it waited for an adapter load, served or refused. */
   hasStalled: boolean;
   dispatchedAt?: number;
-  /** At the caller. */
+  /** When the first token reached the caller. */
   firstTokenAt?: number;
   completedAt?: number;
   refusal?: string;
@@ -36,93 +36,112 @@
   loads: number;
 }): PolicyRow {
   const { records, deployment, measuredSeconds } = options;
-  const toEngines = records.filter(({ request }) => request.adapter !== "");
-  const stalled = toEngines.filter(({ hasStalled }) => hasStalled);
+  const engineRequests = records.filter(({ request }) =>
+    request.adapter !== ""
+  );
+  const stalled = engineRequests.filter(({ hasStalled }) => hasStalled);
   const served = records.filter((record) => record.completedAt !== undefined);
-  const good = served.filter(isInTime);
+  const onTime = served.filter(isWithinDeadline);
   return {
     policy: options.policy,
-    loadStallShare: toRounded(stalled.length / toEngines.length),
+    loadStallShare: toRounded(stalled.length / engineRequests.length),
     loadStallP95Ms: toWholeMs(computePercentile(
       stalled.filter((record) => record.dispatchedAt !== undefined)
         .map((record) => record.dispatchedAt! - record.request.at),
       0.95,
     )),
     batchFill: toRounded(options.batchFill),
-    goodput: toRounded(good.length / measuredSeconds),
+    goodput: toRounded(onTime.length / measuredSeconds),
     refused: records.filter((record) => record.refusal !== undefined).length,
-    lateShare: toRounded((served.length - good.length) / records.length),
+    lateShare: toRounded((served.length - onTime.length) / records.length),
     loads: options.loads,
     firstTokenP95Ms: toWholeMs(computePercentile(
       served.filter(({ request }) => request.adapter !== "")
         .map((record) => record.firstTokenAt! - record.request.at),
       0.95,
     )),
-    fairness: toRounded(computeFairness(computeShares(records, deployment))),
+    fairness: toRounded(
+      computeJainIndex(computeFairShareRatios(records, deployment)),
+    ),
   };
 }
 
-/** Returns each customer's requests in time as a part of its max-min fair share of all of them. */
-export function computeShares(
+/**
+ * Returns for each customer its requests served within the deadline, as a
+ * fraction of its max-min fair share of all requests served so.
+ */
+export function computeFairShareRatios(
   records: RequestRecord[],
   deployment: Deployment,
 ): number[] {
-  const toEngines = records.filter(({ request }) => request.adapter !== "");
+  const engineRequests = records.filter(({ request }) =>
+    request.adapter !== ""
+  );
   const demands = deployment.customers.map(({ name, share }) => ({
     share,
-    offered: toEngines.filter(({ request }) => request.customer === name)
+    offered: engineRequests.filter(({ request }) => request.customer === name)
       .length,
     served:
-      toEngines.filter((record) =>
+      engineRequests.filter((record) =>
         record.request.customer === name && record.completedAt !== undefined &&
-        isInTime(record)
+        isWithinDeadline(record)
       ).length,
   }));
-  const fair = computeFairAmounts(demands);
-  return demands.map(({ served }, index) => served / Math.max(1, fair[index]!));
+  const fairAmounts = computeMaxMinFairShares(demands);
+  return demands.map(({ served }, index) =>
+    served / Math.max(1, fairAmounts[index]!)
+  );
 }
 
-/** Fills demands evenly by share until all that was served is given out. */
-function computeFairAmounts(
+/**
+ * Divides the served requests among the customers by weighted max-min fairness
+ * (progressive filling).
+ */
+function computeMaxMinFairShares(
   demands: { share: number; offered: number; served: number }[],
 ): number[] {
-  const fair = demands.map(() => 0);
-  const open = new Set(demands.keys());
-  let left = demands.reduce((sum, { served }) => sum + served, 0);
-  while (left > 1e-6 && open.size > 0) {
-    const shares = [...open].reduce((sum, i) => sum + demands[i]!.share, 0);
-    const level = Math.min(
-      left / shares,
-      ...[...open].map((i) =>
-        (demands[i]!.offered - fair[i]!) / demands[i]!.share
+  const fairAmounts = demands.map(() => 0);
+  const unsatisfied = new Set(demands.keys());
+  let remaining = demands.reduce((sum, { served }) => sum + served, 0);
+  while (remaining > 1e-6 && unsatisfied.size > 0) {
+    const shareSum = [...unsatisfied].reduce(
+      (sum, i) => sum + demands[i]!.share,
+      0,
+    );
+    const increment = Math.min(
+      remaining / shareSum,
+      ...[...unsatisfied].map((i) =>
+        (demands[i]!.offered - fairAmounts[i]!) / demands[i]!.share
       ),
     );
-    for (const index of [...open]) {
+    for (const index of [...unsatisfied]) {
       const { share, offered } = demands[index]!;
-      fair[index]! += level * share;
-      left -= level * share;
-      if (offered - fair[index]! < 1e-6) open.delete(index);
+      fairAmounts[index]! += increment * share;
+      remaining -= increment * share;
+      if (offered - fairAmounts[index]! < 1e-6) unsatisfied.delete(index);
     }
   }
-  return fair;
+  return fairAmounts;
 }
 
-/** Jain's index. */
-function computeFairness(shares: number[]): number {
-  const sum = shares.reduce((total, share) => total + share, 0);
-  const squares = shares.reduce((total, share) => total + share * share, 0);
-  return squares === 0 ? 0 : sum * sum / (shares.length * squares);
+/** Computes Jain's fairness index. */
+function computeJainIndex(ratios: number[]): number {
+  const sum = ratios.reduce((total, ratio) => total + ratio, 0);
+  const squares = ratios.reduce((total, ratio) => total + ratio * ratio, 0);
+  return squares === 0 ? 0 : sum * sum / (ratios.length * squares);
 }
 
-function isInTime(record: RequestRecord): boolean {
+function isWithinDeadline(record: RequestRecord): boolean {
   return record.firstTokenAt !== undefined &&
     record.firstTokenAt - record.request.at <= record.deadlineMs;
 }
 
-function computePercentile(values: number[], part: number): number {
+function computePercentile(values: number[], quantile: number): number {
   if (values.length === 0) return 0;
   values.sort((a, b) => a - b);
-  return values[Math.min(values.length - 1, Math.floor(values.length * part))]!;
+  return values[
+    Math.min(values.length - 1, Math.floor(values.length * quantile))
+  ]!;
 }
 
 function toRounded(value: number): number {
--- a/bench/policy/offline_bound.ts
+++ b/bench/policy/offline_bound.ts
@@ -1,7 +1,13 @@
-/** Clairvoyant eviction on demand over the pooled slots of all engines. */
+/**
+ * Offline bound of the load stalls: clairvoyant eviction (Belady's algorithm)
+ * with loads on demand, as if the slots of all engines were one pool.
+ */
 import type { Deployment, Workload } from "./workloads.ts";
 
-/** Returns the loads and the share of requests that find their adapter absent. */
+/**
+ * Returns the number of loads, and the share of requests whose adapter was not
+ * loaded at their arrival.
+ */
 export function computeOfflineBound(
   deployment: Deployment,
   workload: Workload,
@@ -13,15 +19,15 @@
   const restarts = workload.faults.filter((fault) => fault.kind === "restart")
     .sort((a, b) => a.at - b.at);
   const residents = new Map<string, { nextUse: number; engine: number }>();
-  const used = new Array<number>(engines).fill(0);
+  const usedSlots = new Array<number>(engines).fill(0);
   let loads = 0;
   let measured = 0;
   for (const [index, request] of requests.entries()) {
     while (restarts[0] !== undefined && restarts[0].at <= request.at) {
       const { engine } = restarts.shift()!;
-      used[engine] = 0;
-      for (const [adapter, place] of residents) {
-        if (place.engine === engine) residents.delete(adapter);
+      usedSlots[engine] = 0;
+      for (const [adapter, resident] of residents) {
+        if (resident.engine === engine) residents.delete(adapter);
       }
     }
     const isMeasured = request.at >= workload.measureFrom;
@@ -33,35 +39,38 @@
     }
     if (isMeasured) loads += 1;
     if (residents.size >= slots) {
-      const victim = findFurthest(residents);
-      used[residents.get(victim)!.engine]! -= 1;
+      const victim = findFurthestNextUse(residents);
+      usedSlots[residents.get(victim)!.engine]! -= 1;
       residents.delete(victim);
     }
-    const engine = used.findIndex((count) => count < deployment.slots);
-    used[engine]! += 1;
+    const engine = usedSlots.findIndex((count) => count < deployment.slots);
+    usedSlots[engine]! += 1;
     residents.set(request.adapter, { nextUse: nextUse[index]!, engine });
   }
   return { loads, loadStallShare: loads / measured };
 }
 
 function computeNextUses(adapters: string[]): number[] {
-  const next = new Map<string, number>();
-  const uses = new Array<number>(adapters.length);
+  const nextIndexByAdapter = new Map<string, number>();
+  const nextUses = new Array<number>(adapters.length);
   for (let index = adapters.length - 1; index >= 0; index -= 1) {
     const adapter = adapters[index]!;
-    uses[index] = next.get(adapter) ?? Number.POSITIVE_INFINITY;
-    next.set(adapter, index);
+    nextUses[index] = nextIndexByAdapter.get(adapter) ??
+      Number.POSITIVE_INFINITY;
+    nextIndexByAdapter.set(adapter, index);
   }
-  return uses;
+  return nextUses;
 }
 
-function findFurthest(residents: Map<string, { nextUse: number }>): string {
+function findFurthestNextUse(
+  residents: Map<string, { nextUse: number }>,
+): string {
   let furthest = "";
-  let latest = -1;
+  let latestUse = -1;
   for (const [adapter, { nextUse }] of residents) {
-    if (nextUse <= latest) continue;
+    if (nextUse <= latestUse) continue;
     furthest = adapter;
-    latest = nextUse;
+    latestUse = nextUse;
   }
   return furthest;
 }
--- a/bench/policy/policies.ts
+++ b/bench/policy/policies.ts
@@ -1,4 +1,4 @@
-/** The policies that are compared: three baselines and the daemon's own. */
+/** The compared policies: three baselines and the daemon's default policy. */
 import {
   type CorePolicy,
   DEFAULT_CORE_POLICY,
@@ -11,7 +11,7 @@
 } from "../../src/core/routing/upstream_selector.ts";
 import { createRandom } from "./random.ts";
 
-/** Names of the rows that run on the core, in their order. */
+/** Names of the simulated policies, in the order of the rows. */
 export const POLICY_NAMES = [
   "random-lru",
   "least-loaded-lru",
--- a/bench/policy/policy_command.ts
+++ b/bench/policy/policy_command.ts
@@ -1,8 +1,15 @@
-/** `bench policy`: measures routing and residency policies on the decisions of the core. */
+/**
+ * `bench policy`: compares policies for routing and adapter residency by
+ * simulating the daemon cores.
+ */
 import { writeFileSync } from "node:fs";
 import type { Subcommand, SubcommandArguments } from "../subcommand.ts";
-import { StoreReading } from "./fakes.ts";
-import { computeRow, computeShares, type PolicyRow } from "./measures.ts";
+import { StoreLimitMode } from "./fakes.ts";
+import {
+  computeFairShareRatios,
+  computeRow,
+  type PolicyRow,
+} from "./measures.ts";
 import { computeOfflineBound } from "./offline_bound.ts";
 import { createPolicy, POLICY_NAMES, type PolicyName } from "./policies.ts";
 import { formatReport, formatTable } from "./report.ts";
@@ -15,7 +22,7 @@
   DEPLOYMENTS,
 } from "./workloads.ts";
 
-/** The result of one case, as `--json` prints it. */
+/** The result of one case, in the form printed with `--json`. */
 export interface CaseResult {
   deployment: string;
   case: CaseName;
@@ -23,10 +30,10 @@
   rows: PolicyRow[];
 }
 
-/** Figures of a case beyond those of its rows. */
+/** Figures of a case that are not part of its rows. */
 export interface CaseDetail {
-  /** The smallest customer's served part of its fair share, by policy. */
-  leastShares: Map<string, number>;
+  /** Lowest fair-share ratio of any customer, by policy. */
+  minFairShareRatios: Map<string, number>;
   unsafeEvictions: number;
   maxLoadsInFlight: number;
 }
@@ -35,12 +42,12 @@
   deployment: Deployment;
   caseName: CaseName;
   seed: number;
-  store: StoreReading;
-  /** Policies to run; all where absent. */
+  store: StoreLimitMode;
+  /** Policies to run; all when absent. */
   policies?: readonly PolicyName[];
 }
 
-/** Runs one case under every policy and adds the offline bound. */
+/** Simulates one case under each policy and adds the offline bound. */
 export function runCase(
   options: CaseOptions,
 ): { result: CaseResult; detail: CaseDetail } {
@@ -48,7 +55,7 @@
   const workload = createWorkload(deployment, caseName, seed);
   const measuredSeconds = (workload.endAt - workload.measureFrom) / 1_000;
   const detail: CaseDetail = {
-    leastShares: new Map(),
+    minFairShareRatios: new Map(),
     unsafeEvictions: 0,
     maxLoadsInFlight: 0,
   };
@@ -60,8 +67,8 @@
       store,
       seed,
     }).run();
-    const shares = computeShares(run.records, deployment);
-    detail.leastShares.set(policy, Math.min(...shares));
+    const fairShareRatios = computeFairShareRatios(run.records, deployment);
+    detail.minFairShareRatios.set(policy, Math.min(...fairShareRatios));
     detail.unsafeEvictions += run.unsafeEvictions;
     detail.maxLoadsInFlight = Math.max(
       detail.maxLoadsInFlight,
@@ -102,7 +109,7 @@
     { flags: "--report", description: "Write an HTML picture of the cases" },
   ],
   run(options) {
-    const { deployment, seed, store } = readCommon(options);
+    const { deployment, seed, store } = readCommonOptions(options);
     const caseNames = options.case === undefined
       ? CASES
       : [readChoice("case", options.case, CASES)];
@@ -135,10 +142,10 @@
   },
 };
 
-function readCommon(options: SubcommandArguments): {
+function readCommonOptions(options: SubcommandArguments): {
   deployment: Deployment;
   seed: number;
-  store: StoreReading;
+  store: StoreLimitMode;
 } {
   const name = readChoice(
     "deployment",
@@ -149,8 +156,8 @@
   if (!Number.isInteger(seed)) {
     throw new Error(`Expected a whole number as --seed, found ${options.seed}`);
   }
-  const readings = Object.values(StoreReading);
-  const store = readChoice("store", options.store, readings);
+  const modes = Object.values(StoreLimitMode);
+  const store = readChoice("store", options.store, modes);
   return { deployment: DEPLOYMENTS[name]!, seed, store };
 }
 
--- a/bench/policy/popularity_law.ts
+++ b/bench/policy/popularity_law.ts
@@ -1,17 +1,20 @@
-/** Popularity of adapters: a Zipf law over ranks whose holders change. */
+/**
+ * Popularity of adapters: a Zipf distribution over ranks. Which adapter has a
+ * rank can change over time.
+ */
 import type { Random } from "./random.ts";
 
-export interface PopularityLawOptions {
+export interface ZipfPopularityOptions {
   adapters: number;
   zipfExponent: number;
 }
 
-export class PopularityLaw {
+export class ZipfPopularity {
   readonly #cumulative: number[] = [];
   readonly #adapterByRank: number[];
   readonly #random: Random;
 
-  constructor(options: PopularityLawOptions, random: Random) {
+  constructor(options: ZipfPopularityOptions, random: Random) {
     this.#random = random;
     let sum = 0;
     for (let rank = 1; rank <= options.adapters; rank += 1) {
@@ -23,25 +26,25 @@
       (_, index) => index,
     );
     for (let index = options.adapters - 1; index > 0; index -= 1) {
-      this.changeRanks(index, Math.floor(random() * (index + 1)));
+      this.swapRanks(index, Math.floor(random() * (index + 1)));
     }
   }
 
-  changeRanks(a: number, b: number): void {
-    const kept = this.#adapterByRank[a]!;
+  swapRanks(a: number, b: number): void {
+    const adapter = this.#adapterByRank[a]!;
     this.#adapterByRank[a] = this.#adapterByRank[b]!;
-    this.#adapterByRank[b] = kept;
+    this.#adapterByRank[b] = adapter;
   }
 
-  /** Lets the adapters of that many drawn pairs change places. */
-  changeSomeRanks(pairs: number): void {
+  /** Swaps the adapters of randomly drawn pairs of ranks. */
+  swapRandomRanks(pairs: number): void {
     for (let count = 0; count < pairs; count += 1) {
-      this.changeRanks(this.#drawRank(), this.#drawRank());
+      this.swapRanks(this.#drawRank(), this.#drawRank());
     }
   }
 
-  /** Draws an adapter, the popular ones more often. */
-  draw(): number {
+  /** Draws an adapter with the probability of its rank. */
+  drawAdapter(): number {
     const target = this.#random() * this.#cumulative.at(-1)!;
     let low = 0;
     let high = this.#cumulative.length - 1;
--- a/bench/policy/random.ts
+++ b/bench/policy/random.ts
@@ -1,4 +1,4 @@
-/** Random numbers of the benches, the same for the same seed. */
+/** Pseudorandom numbers of the benchmarks, reproducible by their seed. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
--- a/bench/policy/report.ts
+++ b/bench/policy/report.ts
@@ -1,4 +1,4 @@
-/** Tables and pictures of bench results. */
+/** Formats benchmark results as text tables and HTML charts. */
 import type { PolicyRow } from "./measures.ts";
 import type { CaseDetail, CaseResult } from "./policy_command.ts";
 
@@ -25,8 +25,8 @@
     const cells = COLUMNS.map((column) =>
       String(row[column] ?? "-").padStart(column.length)
     );
-    const least = detail.leastShares.get(row.policy);
-    cells.push((least?.toFixed(3) ?? "-").padStart("leastShare".length));
+    const minRatio = detail.minFairShareRatios.get(row.policy);
+    cells.push((minRatio?.toFixed(3) ?? "-").padStart("leastShare".length));
     lines.push([row.policy.padEnd(17), ...cells].join("  "));
   }
   return `${lines.join("\n")}\n`;
@@ -40,7 +40,7 @@
 ] as const;
 const BAR_WIDTH = 320;
 
-/** Returns an HTML page with one bar chart a measure and case. */
+/** Returns an HTML page with a bar chart for each measure of each case. */
 export function formatReport(results: readonly CaseResult[]): string {
   const sections = results.map((result) =>
     `<h2>${result.deployment} ${result.case}, seed ${result.seed}</h2>` +
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -1,4 +1,7 @@
-/** Runs the daemons' cores, the models of engines and store and one workload in virtual time. */
+/**
+ * Simulates the cores of all daemons with models of the engines and the weight
+ * store under one workload, in virtual time.
+ */
 import type { CorePolicy } from "../../src/core/core_policy.ts";
 import {
   type CoreSettings,
@@ -20,9 +23,9 @@
   createHosts,
   createTables,
   MAX_RUN_MS,
-  SERVICE_BATCH,
+  SERVICE_BATCH_SIZE,
 } from "./deployment_tables.ts";
-import { FakeEngine, FakeStore, StoreReading } from "./fakes.ts";
+import { FakeEngine, FakeStore, StoreLimitMode } from "./fakes.ts";
 import type { RequestRecord } from "./measures.ts";
 import { createRandom } from "./random.ts";
 import {
@@ -40,7 +43,10 @@
   maxLoadsInFlight: number;
   unsafeEvictions: number;
   counters: Map<string, number>;
-  /** Messages about leases between daemons, and their bytes, in the measured time. */
+  /**
+   * Number and size of the lease messages between daemons in the measured
+   * time.
+   */
   leaseMessages: number;
   leaseBytes: number;
 }
@@ -49,57 +55,57 @@
   deployment: Deployment;
   workload: Workload;
   policy: CorePolicy;
-  store: StoreReading;
+  store: StoreLimitMode;
   seed: number;
-  /** Settings other than the defaults. */
+  /** Settings that replace the defaults. */
   settings?: Partial<CoreSettings>;
 }
 
 const TICK_MS = 50;
 const CONNECT_TIMEOUT_MS = 1_000;
-/** Loads a second that 8 in flight at a quarter second each amount to. */
-const UNBOUND_LOADS_PER_SECOND = 32;
+/** Rate of 8 concurrent loads of 250 ms each. */
+const FULL_SPEED_LOADS_PER_SECOND = 32;
 
 export class Simulation {
   readonly #options: SimulationOptions;
   readonly #heap = new EventHeap();
   readonly #store: FakeStore;
   readonly #daemons = new Map<string, DaemonCore>();
-  readonly #domains = new Map<string, string>();
+  readonly #domainByHost = new Map<string, string>();
   readonly #upstreams = new Map<string, FakeEngine>();
   readonly #records = new Map<string, RequestRecord>();
-  readonly #attemptDaemons = new Map<string, string>();
+  readonly #daemonByAttempt = new Map<string, string>();
   readonly #counters = new Map<string, number>();
-  #cutDomain: string | undefined;
+  #isolatedDomain: string | undefined;
   #leaseMessages = 0;
   #leaseBytes = 0;
   #loadFailureShare = 0;
-  #loadsBefore = 0;
+  #loadsBeforeMeasurement = 0;
 
   constructor(options: SimulationOptions) {
     const { deployment, store, workload, seed } = options;
     this.#options = options;
     this.#store = new FakeStore(this.#heap, {
       loadsPerSecond: deployment.storeLoadsPerSecond,
-      reading: store,
+      limitMode: store,
     });
     const hosts = createHosts(deployment);
     const random = createRandom(seed + 1);
     for (const host of hosts) {
-      this.#domains.set(host.id, host.failureDomain);
+      this.#domainByHost.set(host.id, host.failureDomain);
       if (host.role === HostRole.Entry) this.#addDaemon(host, hosts);
       else this.#addUpstream(host, () => random() < this.#loadFailureShare);
     }
     for (const fault of workload.faults) this.#scheduleFault(fault);
     this.#scheduleRequests();
-    this.#heap.add(workload.measureFrom, () => {
-      this.#loadsBefore = this.#store.loads;
+    this.#heap.schedule(workload.measureFrom, () => {
+      this.#loadsBeforeMeasurement = this.#store.loads;
     });
   }
 
   run(): SimulationResult {
     const { workload } = this.#options;
-    // Requests of the last seconds may still be answered.
+    // Runs longer so that the last requests can still be answered.
     this.#heap.runUntil(workload.endAt + 2 * MAX_RUN_MS);
     const engines = [...this.#upstreams.values()].filter((engine) =>
       engine.host.service === this.#options.deployment.engineService
@@ -109,8 +115,8 @@
       records: [...this.#records.values()].filter(({ request }) =>
         request.at >= workload.measureFrom
       ),
-      batchFill: sum(engines, (engine) => engine.filledSteps) / steps,
-      loads: this.#store.loads - this.#loadsBefore,
+      batchFill: sum(engines, (engine) => engine.batchFillSum) / steps,
+      loads: this.#store.loads - this.#loadsBeforeMeasurement,
       maxLoadsInFlight: this.#store.maxInFlight,
       unsafeEvictions: sum(engines, (engine) => engine.unsafeEvictions),
       counters: this.#counters,
@@ -127,9 +133,9 @@
       failureDomain: host.failureDomain,
       settings: {
         ...DEFAULT_CORE_SETTINGS,
-        storeLoadsPerSecond: store === StoreReading.Rate
+        storeLoadsPerSecond: store === StoreLimitMode.Rate
           ? deployment.storeLoadsPerSecond
-          : UNBOUND_LOADS_PER_SECOND,
+          : FULL_SPEED_LOADS_PER_SECOND,
         ...this.#options.settings,
       },
       seedHosts: hosts.filter(({ role }) => role === HostRole.Entry),
@@ -138,14 +144,14 @@
     }, 0);
     this.#daemons.set(host.id, core);
     const tables = createTables(deployment);
-    this.#handEvent(host.id, { kind: "tablesPublished", tables }, 0);
+    this.#deliverEvent(host.id, { kind: "tablesPublished", tables }, 0);
     const hostList = { revision: 1, hosts };
-    this.#handEvent(host.id, { kind: "hostListPublished", hostList }, 0);
+    this.#deliverEvent(host.id, { kind: "hostListPublished", hostList }, 0);
     const tick = (now: number) => {
-      this.#handEvent(host.id, { kind: "tick" }, now);
-      this.#heap.add(now + TICK_MS, tick);
+      this.#deliverEvent(host.id, { kind: "tick" }, now);
+      this.#heap.schedule(now + TICK_MS, tick);
     };
-    this.#heap.add(this.#daemons.size, tick);
+    this.#heap.schedule(this.#daemons.size, tick);
   }
 
   #addUpstream(host: HostStructure, isLoadFailing: () => boolean): void {
@@ -156,10 +162,10 @@
       new FakeEngine({
         host,
         slots: isEngine ? deployment.slots : 0,
-        batchSize: isEngine ? deployment.batchSize : SERVICE_BATCH,
+        batchSize: isEngine ? deployment.batchSize : SERVICE_BATCH_SIZE,
         heap: this.#heap,
         store: this.#store,
-        isLoadFailing,
+        isLoadFailing: isLoadFailing,
         measureFrom: workload.measureFrom,
       }),
     );
@@ -170,14 +176,15 @@
     const daemons = [...this.#daemons.keys()];
     for (const [index, request] of workload.requests.entries()) {
       const requestId = `request-${index}`;
-      const daemon = daemons[Math.floor(request.balance * daemons.length)]!;
-      this.#heap.add(request.at + CALLER_DELAY_MS, (now) => {
+      const daemon =
+        daemons[Math.floor(request.balancerDraw * daemons.length)]!;
+      this.#heap.schedule(request.at + CALLER_DELAY_MS, (now) => {
         this.#records.set(requestId, {
           request,
           deadlineMs: deployment.deadlinesMs[request.priority],
           hasStalled: false,
         });
-        this.#handEvent(daemon, {
+        this.#deliverEvent(daemon, {
           kind: "requestArrived",
           requestId,
           customer: request.customer,
@@ -192,52 +199,56 @@
     switch (fault.kind) {
       case "restart": {
         const engine = [...this.#upstreams.values()][fault.engine]!;
-        this.#heap.add(fault.at, (now) => engine.restart(now, fault.downMs));
+        this.#heap.schedule(
+          fault.at,
+          (now) => engine.restart(now, fault.downMs),
+        );
         break;
       }
       case "loadFailures":
-        this.#heap.add(fault.at, () => {
+        this.#heap.schedule(fault.at, () => {
           this.#loadFailureShare = fault.share;
         });
-        this.#heap.add(fault.untilMs, () => {
+        this.#heap.schedule(fault.untilMs, () => {
           this.#loadFailureShare = 0;
         });
         break;
       case "cut":
-        this.#heap.add(fault.at, (now) => {
-          this.#cutDomain =
+        this.#heap.schedule(fault.at, (now) => {
+          this.#isolatedDomain =
             this.#options.deployment.failureDomains[fault.domain];
-          this.#loseCutRuns(now);
+          this.#interruptIsolatedRuns(now);
         });
-        this.#heap.add(fault.untilMs, () => {
-          this.#cutDomain = undefined;
+        this.#heap.schedule(fault.untilMs, () => {
+          this.#isolatedDomain = undefined;
         });
         break;
     }
   }
 
-  #loseCutRuns(now: number): void {
+  #interruptIsolatedRuns(now: number): void {
     for (const engine of this.#upstreams.values()) {
-      engine.loseRuns((attemptId) => {
-        const daemon = this.#attemptDaemons.get(attemptId);
-        return daemon !== undefined && this.#isCut(daemon, engine.host.id);
+      engine.interruptRuns((attemptId) => {
+        const daemon = this.#daemonByAttempt.get(attemptId);
+        return daemon !== undefined &&
+          this.#isPartitioned(daemon, engine.host.id);
       }, now);
     }
   }
 
-  #isCut(a: string, b: string): boolean {
-    if (this.#cutDomain === undefined) return false;
-    return (this.#domains.get(a) === this.#cutDomain) !==
-      (this.#domains.get(b) === this.#cutDomain);
+  #isPartitioned(a: string, b: string): boolean {
+    if (this.#isolatedDomain === undefined) return false;
+    return (this.#domainByHost.get(a) === this.#isolatedDomain) !==
+      (this.#domainByHost.get(b) === this.#isolatedDomain);
   }
 
   #getDelayMs(a: string, b: string): number {
-    return this.#domains.get(a) === this.#domains.get(b)
+    return this.#domainByHost.get(a) === this.#domainByHost.get(b)
       ? LOCAL_DELAY_MS
       : this.#options.deployment.domainDelayMs;
   }
 
-  #handEvent(daemonId: string, event: CoreEvent, now: number): void {
+  #deliverEvent(daemonId: string, event: CoreEvent, now: number): void {
     const daemon = this.#daemons.get(daemonId)!;
     let hasStalled = false;
     for (const effect of daemon.handle(event, now)) {
@@ -246,11 +257,11 @@
       } else if (effect.kind === "dispatch") {
         this.#dispatch(daemonId, effect, hasStalled, now);
         hasStalled = false;
-      } else this.#carryOut(daemonId, effect, now);
+      } else this.#runEffect(daemonId, effect, now);
     }
   }
 
-  #carryOut(daemonId: string, effect: Effect, now: number): void {
+  #runEffect(daemonId: string, effect: Effect, now: number): void {
     switch (effect.kind) {
       case "send":
         this.#send(daemonId, effect, now);
@@ -296,15 +307,15 @@
     effect: Extract<Effect, { kind: "send" }>,
     now: number,
   ): void {
-    if (this.#isCut(from, effect.to)) return;
+    if (this.#isPartitioned(from, effect.to)) return;
     const { to, message } = effect;
     this.#countMessage(from, message, now);
-    this.#heap.add(now + this.#getDelayMs(from, to), (at) => {
-      this.#handEvent(to, { kind: "peerMessage", from, message }, at);
+    this.#heap.schedule(now + this.#getDelayMs(from, to), (at) => {
+      this.#deliverEvent(to, { kind: "peerMessage", from, message }, at);
     });
   }
 
-  /** Counts the messages about leases that are sent in the measured time. */
+  /** Counts the lease messages that are sent in the measured time. */
   #countMessage(from: string, message: PeerMessage, now: number): void {
     const { workload } = this.#options;
     const isMeasured = now >= workload.measureFrom && now < workload.endAt;
@@ -326,21 +337,21 @@
     record.dispatchedAt ??= now;
     record.hasStalled ||= hasStalled;
     const end = (result: AttemptResult, at: number) => {
-      this.#attemptDaemons.delete(attemptId);
-      this.#heap.add(at + delayMs, (later) => {
-        this.#handEvent(daemonId, {
+      this.#daemonByAttempt.delete(attemptId);
+      this.#heap.schedule(at + delayMs, (later) => {
+        this.#deliverEvent(daemonId, {
           kind: "attemptEnded",
           attemptId,
           result,
         }, later);
       });
     };
-    if (this.#isCut(daemonId, upstreamId)) {
+    if (this.#isPartitioned(daemonId, upstreamId)) {
       end({ kind: "notSent", detail: "timed out" }, now + CONNECT_TIMEOUT_MS);
       return;
     }
-    this.#attemptDaemons.set(attemptId, daemonId);
-    this.#heap.add(now + delayMs, (at) => {
+    this.#daemonByAttempt.set(attemptId, daemonId);
+    this.#heap.schedule(now + delayMs, (at) => {
       this.#upstreams.get(upstreamId)!.start({
         attemptId,
         adapterKey: effect.upstreamKind === PoolKind.Engine ? effect.model : "",
@@ -361,11 +372,11 @@
   ): void {
     const engine = this.#upstreams.get(effect.upstreamId)!;
     const delayMs = this.#getDelayMs(daemonId, effect.upstreamId);
-    this.#heap.add(now + delayMs, (at) => {
+    this.#heap.schedule(now + delayMs, (at) => {
       engine.giveOrder(effect.order, effect.fencing, at, (result, end) => {
-        this.#heap.add(end + delayMs, (later) => {
+        this.#heap.schedule(end + delayMs, (later) => {
           const { orderId } = effect;
-          this.#handEvent(
+          this.#deliverEvent(
             daemonId,
             { kind: "orderEnded", orderId, result },
             later,
@@ -382,9 +393,9 @@
   ): void {
     const { upstreamId, readId } = effect;
     const delayMs = this.#getDelayMs(daemonId, upstreamId);
-    if (this.#isCut(daemonId, upstreamId)) {
-      this.#heap.add(now + CONNECT_TIMEOUT_MS, (at) => {
-        this.#handEvent(daemonId, {
+    if (this.#isPartitioned(daemonId, upstreamId)) {
+      this.#heap.schedule(now + CONNECT_TIMEOUT_MS, (at) => {
+        this.#deliverEvent(daemonId, {
           kind: "upstreamStateUnread",
           upstreamId,
           readId,
@@ -393,10 +404,10 @@
       });
       return;
     }
-    this.#heap.add(now + delayMs, (readAt) => {
+    this.#heap.schedule(now + delayMs, (readAt) => {
       const state = this.#upstreams.get(upstreamId)!.readState(readAt);
-      this.#heap.add(readAt + delayMs, (at) => {
-        this.#handEvent(
+      this.#heap.schedule(readAt + delayMs, (at) => {
+        this.#deliverEvent(
           daemonId,
           state ? { kind: "upstreamStateRead", upstreamId, readId, state } : {
             kind: "upstreamStateUnread",
@@ -411,6 +422,6 @@
   }
 }
 
-function sum<T>(items: readonly T[], measure: (item: T) => number): number {
-  return items.reduce((total, item) => total + measure(item), 0);
+function sum<T>(items: readonly T[], getValue: (item: T) => number): number {
+  return items.reduce((total, item) => total + getValue(item), 0);
 }
--- a/bench/policy/workloads.ts
+++ b/bench/policy/workloads.ts
@@ -1,6 +1,8 @@
-/** Deployments of the brief's sizes and the requests and faults of each case. */
+/**
+ * Deployments of the specified sizes, and the requests and faults of each case.
+ */
 import { Priority } from "../../src/core/structures.ts";
-import { PopularityLaw } from "./popularity_law.ts";
+import { ZipfPopularity } from "./popularity_law.ts";
 import { createRandom, type Random } from "./random.ts";
 
 export interface Deployment {
@@ -16,7 +18,7 @@
   batchSize: number;
   zipfExponent: number;
   storeLoadsPerSecond: number;
-  /** One way, between failure domains. */
+  /** One-way delay between failure domains. */
   domainDelayMs: number;
   requestsPerSecond: number;
   serviceRequestsPerSecond: number;
@@ -26,9 +28,9 @@
   batchEfficiencyWeight: number;
 }
 
-/** One way, inside a failure domain and to its upstreams. */
+/** One-way delay within a failure domain, also to its upstreams. */
 export const LOCAL_DELAY_MS = 0.2;
-/** One way, between callers and daemons. */
+/** One-way delay between callers and daemons. */
 export const CALLER_DELAY_MS = 3;
 
 export const DEPLOYMENTS: Record<string, Deployment> = {
@@ -85,7 +87,7 @@
   },
 };
 
-/** Cases of the bench, in the order in which they are run. */
+/** Cases of the benchmark, in the order in which they run. */
 export const CASES = [
   "steady",
   "shift",
@@ -101,12 +103,12 @@
   at: number;
   customer: string;
   route: string;
-  /** Empty on a plain service. */
+  /** Empty for a plain service. */
   adapter: string;
   priority: Priority;
   tokens: number;
-  /** In [0, 1); the balancer's choice. */
-  balance: number;
+  /** The load balancer's random choice of a daemon, in [0, 1). */
+  balancerDraw: number;
 }
 
 export type Fault =
@@ -124,22 +126,28 @@
 const WARM_UP_MS = 300_000;
 const MEASURED_MS = 300_000;
 const DRIFT_INTERVAL_MS = 30_000;
-/** Pairs of adapters that change ranks in it: 8.6% of 3,000 in an hour. */
-const DRIFTING_PAIRS = 2;
+/**
+ * Pairs of adapters that swap ranks in each interval: 8.6% of 3,000
+ * in an hour.
+ */
+const DRIFT_SWAPPED_PAIRS = 2;
 const SERVICE_TOKENS = 4;
 
-export function getPriorityOf(adapter: number): Priority {
-  const place = (adapter * 7_919) % 10;
-  if (place < 5) return Priority.Interactive;
-  return place < 8 ? Priority.Standard : Priority.Bulk;
+export function getAdapterPriority(adapter: number): Priority {
+  const bucket = (adapter * 7_919) % 10;
+  if (bucket < 5) return Priority.Interactive;
+  return bucket < 8 ? Priority.Standard : Priority.Bulk;
 }
 
-export function getCustomerOf(adapter: number, deployment: Deployment): string {
+export function getAdapterCustomer(
+  adapter: number,
+  deployment: Deployment,
+): string {
   const { customers } = deployment;
   return customers[(adapter * 31) % customers.length]!.name;
 }
 
-function getTokens(priority: Priority, random: Random): number {
+function drawTokenCount(priority: Priority, random: Random): number {
   switch (priority) {
     case Priority.Interactive:
       return 40 + Math.floor(random() * 40);
@@ -150,15 +158,22 @@
   }
 }
 
-/** Returns the rate of engine requests at a time, as a multiple of the steady one. */
+/**
+ * Returns the rate of requests to engines at a time, as a multiple of the
+ * steady rate.
+ */
 function getRateFactor(caseName: CaseName, at: number): number {
-  const since = at - WARM_UP_MS;
-  if (since < 0) return 1;
+  const elapsedMs = at - WARM_UP_MS;
+  if (elapsedMs < 0) return 1;
   switch (caseName) {
     case "morning":
-      return since < 60_000 ? 1 + since / 60_000 : since < 180_000 ? 2 : 1;
+      return elapsedMs < 60_000
+        ? 1 + elapsedMs / 60_000
+        : elapsedMs < 180_000
+        ? 2
+        : 1;
     case "flood":
-      return since < 30_000 || since > 270_000 ? 1 : 4;
+      return elapsedMs < 30_000 || elapsedMs > 270_000 ? 1 : 4;
     case "steady":
     case "shift":
     case "restart":
@@ -168,51 +183,52 @@
   }
 }
 
-/** Returns the requests and faults of a case; the same for every policy. */
+/** Returns the requests and faults of a case, the same for each policy. */
 export function createWorkload(
   deployment: Deployment,
   caseName: CaseName,
   seed: number,
 ): Workload {
   const random = createRandom(seed);
-  const law = new PopularityLaw(deployment, random);
+  const popularity = new ZipfPopularity(deployment, random);
   const endAt = WARM_UP_MS + MEASURED_MS;
   const requests: WorkloadRequest[] = [];
-  let driftAt = DRIFT_INTERVAL_MS;
-  let shiftAt = WARM_UP_MS + 30_000;
-  let oneOff = deployment.adapters - 1;
+  let nextDriftAt = DRIFT_INTERVAL_MS;
+  let nextShiftAt = WARM_UP_MS + 30_000;
+  let oneOffAdapter = deployment.adapters - 1;
   let at = 0;
   while (at < endAt) {
     const rate = deployment.requestsPerSecond * getRateFactor(caseName, at);
     at += -Math.log(1 - random()) / rate * 1_000;
-    for (; at >= driftAt; driftAt += DRIFT_INTERVAL_MS) {
-      law.changeSomeRanks(DRIFTING_PAIRS);
+    for (; at >= nextDriftAt; nextDriftAt += DRIFT_INTERVAL_MS) {
+      popularity.swapRandomRanks(DRIFT_SWAPPED_PAIRS);
     }
-    if (caseName === "shift" && at >= shiftAt) {
-      law.changeRanks(
+    if (caseName === "shift" && at >= nextShiftAt) {
+      popularity.swapRanks(
         1 + Math.floor(random() * 4),
         500 + Math.floor(random() * 2_000),
       );
-      shiftAt += 60_000;
+      nextShiftAt += 60_000;
     }
     const isOneOff = caseName === "many" && at >= WARM_UP_MS &&
       random() < 0.15;
-    if (isOneOff) oneOff -= 1;
-    const adapter = isOneOff ? oneOff : drawAdapter(law, {
+    if (isOneOff) oneOffAdapter -= 1;
+    const adapter = isOneOff ? oneOffAdapter : drawAdapter(popularity, {
       deployment,
-      // In a flood one customer sends most of what is too much.
-      isNoisy: caseName === "flood" && getRateFactor(caseName, at) > 1 &&
+      // In a flood, one customer sends most of the excess requests.
+      isFromNoisyCustomer: caseName === "flood" &&
+        getRateFactor(caseName, at) > 1 &&
         random() < 0.4,
     });
-    const priority = getPriorityOf(adapter);
+    const priority = getAdapterPriority(adapter);
     requests.push({
       at,
-      customer: getCustomerOf(adapter, deployment),
+      customer: getAdapterCustomer(adapter, deployment),
       route: `route-${adapter}`,
       adapter: `adapter-${adapter}`,
       priority,
-      tokens: getTokens(priority, random),
-      balance: random(),
+      tokens: drawTokenCount(priority, random),
+      balancerDraw: random(),
     });
   }
   addServiceRequests(requests, deployment, endAt, random);
@@ -226,15 +242,16 @@
 }
 
 function drawAdapter(
-  law: PopularityLaw,
-  options: { deployment: Deployment; isNoisy: boolean },
+  popularity: ZipfPopularity,
+  options: { deployment: Deployment; isFromNoisyCustomer: boolean },
 ): number {
-  const noisy = options.deployment.customers[0]!.name;
-  let adapter = law.draw();
+  const noisyCustomer = options.deployment.customers[0]!.name;
+  let adapter = popularity.drawAdapter();
   while (
-    options.isNoisy && getCustomerOf(adapter, options.deployment) !== noisy
+    options.isFromNoisyCustomer &&
+    getAdapterCustomer(adapter, options.deployment) !== noisyCustomer
   ) {
-    adapter = law.draw();
+    adapter = popularity.drawAdapter();
   }
   return adapter;
 }
@@ -257,7 +274,7 @@
       adapter: "",
       priority: Priority.Interactive,
       tokens: SERVICE_TOKENS,
-      balance: random(),
+      balancerDraw: random(),
     });
   }
 }
