--- a/bench/control/control_command.ts
+++ b/bench/control/control_command.ts
@@ -1,4 +1,7 @@
-/** `bench control`: what one daemon spends on its peers and the tables, by the number of peers. */
+/**
+ * `bench control`: measures the traffic and processor time that one daemon
+ * spends on its peers and the tables, by the number of peers.
+ */
 import type { Subcommand } from "../subcommand.ts";
 import { ControlFleet, type FleetNode } from "./control_fleet.ts";
 import {
@@ -12,15 +15,18 @@
 
 const SETTLE_MS = 8_000;
 const MEASURE_MS = 20_000;
-/** Changes of configuration a second at the target. */
+/** Configuration changes per second at the target scale. */
 const CHANGES_PER_SECOND = 33_000 / 86_400;
-/** Changes of residency a second in one failure domain: an adapter woken anywhere is loaded in one upstream of each. */
+/**
+ * Changes of residency per second in one failure domain: an adapter that
+ * becomes active anywhere is loaded by one upstream of each domain.
+ */
 const LOADS_PER_SECOND = 64_000 * 0.086 / 3_600;
 const UPSTREAMS_PER_DAEMON = 11;
-const SLOTS = 16;
+const RESIDENTS_PER_UPSTREAM = 16;
 const DOMAINS = 11;
 
-/** Load on the control plane: none, or that of the target. */
+/** Load on the control plane: none, or that of the target scale. */
 type Activity = "idle" | "target";
 
 interface ControlRow {
@@ -31,7 +37,7 @@
   envelopesPerSecond: number;
   messagesPerSecond: number;
   transportBytesPerSecond: number;
-  /** Processor time of one daemon's core and codec as a share of a core. */
+  /** Processor time of one daemon's core and codec, as a fraction of a CPU. */
   busyShare: number;
 }
 
@@ -69,7 +75,7 @@
   },
 };
 
-/** Measures one failure domain in a fleet of eleven, of which two run. */
+/** Measures one failure domain of eleven, of which two are simulated. */
 function measureControl(
   peers: number,
   activity: Activity,
@@ -97,7 +103,7 @@
   for (const [id, state] of fleet.upstreams) {
     fleet.upstreams.set(id, {
       ...state,
-      residents: Array.from({ length: SLOTS }, (_, slot) => ({
+      residents: Array.from({ length: RESIDENTS_PER_UPSTREAM }, (_, slot) => ({
         adapterKey: `adapter-${(hashId(id) + slot * 977) % 64_000}@v1`,
         inFlight: 0,
       })),
@@ -105,23 +111,23 @@
   }
   fleet.run(SETTLE_MS);
   fleet.clearCounts();
-  const before = process.cpuUsage();
+  const cpuBefore = process.cpuUsage();
   runActivity(fleet, sizes, activity);
-  const { user, system } = process.cpuUsage(before);
+  const { user, system } = process.cpuUsage(cpuBefore);
   const busyShare = (user + system) / 1_000 / MEASURE_MS /
     fleet.listNodes().length;
   const nodes = fleet.listNodes().filter((node) =>
     node.host.failureDomain === measured
   );
-  if (isKindCounted) printKinds(nodes);
+  if (isKindCounted) printBytesByKind(nodes);
   return {
     ...describeRow(nodes, peers, activity, envelopeBytes),
     busyShare: Number(busyShare.toFixed(5)),
   };
 }
 
-/** Prints the bytes a second of one daemon by kind of message. */
-function printKinds(nodes: readonly FleetNode[]): void {
+/** Prints the bytes per second and daemon, by kind of message. */
+function printBytesByKind(nodes: readonly FleetNode[]): void {
   const kinds = new Map<string, number>();
   for (const { counts } of nodes) {
     for (const [kind, bytes] of counts.bytesByKind) {
@@ -141,10 +147,10 @@
 ): void {
   let changes = 0;
   let loads = 0;
-  for (let passed = 0; passed < MEASURE_MS; passed += 100) {
+  for (let elapsedMs = 0; elapsedMs < MEASURE_MS; elapsedMs += 100) {
     fleet.run(100);
     if (activity === "idle") continue;
-    const seconds = passed / 1_000;
+    const seconds = elapsedMs / 1_000;
     while (changes < seconds * CHANGES_PER_SECOND) {
       changes += 1;
       fleet.tables = editTables(fleet.tables!, changes);
@@ -156,7 +162,7 @@
   }
 }
 
-/** Puts another adapter into a slot of one upstream. */
+/** Replaces the adapter in one slot of an upstream. */
 function changeResident(
   fleet: ControlFleet,
   sizes: FleetSizes,
@@ -180,10 +186,11 @@
   envelopeBytes: number,
 ): Omit<ControlRow, "busyShare"> {
   const seconds = MEASURE_MS / 1_000;
-  const average = (read: (node: FleetNode) => number): number =>
-    nodes.reduce((sum, node) => sum + read(node), 0) / nodes.length / seconds;
-  const bytes = average((node) => node.counts.bytesSent);
-  const envelopes = average((node) => node.counts.envelopesSent);
+  const averagePerSecond = (readCount: (node: FleetNode) => number): number =>
+    nodes.reduce((sum, node) => sum + readCount(node), 0) / nodes.length /
+    seconds;
+  const bytes = averagePerSecond((node) => node.counts.bytesSent);
+  const envelopes = averagePerSecond((node) => node.counts.envelopesSent);
   return {
     peers,
     activity,
@@ -193,7 +200,7 @@
     ),
     envelopesPerSecond: Number(envelopes.toFixed(2)),
     messagesPerSecond: Number(
-      average((node) => node.counts.messagesSent).toFixed(2),
+      averagePerSecond((node) => node.counts.messagesSent).toFixed(2),
     ),
     transportBytesPerSecond: Math.round(bytes + envelopes * envelopeBytes),
   };
@@ -203,14 +210,14 @@
   rows: readonly ControlRow[],
 ): { activity: Activity; bytesPerPeer: number; busySharePerPeer: number }[] {
   return (["idle", "target"] as const).map((activity) => {
-    const chosen = rows.filter((row) => row.activity === activity);
+    const activityRows = rows.filter((row) => row.activity === activity);
     return {
       activity,
       bytesPerPeer: computeSlope(
-        chosen.map((row) => [row.peers, row.bytesPerSecond]),
+        activityRows.map((row) => [row.peers, row.bytesPerSecond]),
       ),
       busySharePerPeer: computeSlope(
-        chosen.map((row) => [row.peers, row.busyShare]),
+        activityRows.map((row) => [row.peers, row.busyShare]),
       ),
     };
   });
--- a/bench/control/control_fleet.ts
+++ b/bench/control/control_fleet.ts
@@ -1,7 +1,7 @@
 /**
- * Cores of many daemons in one process, with a queue of messages in place of
- * the network and the time passed in: for measuring and testing what daemons
- * tell each other. Upstreams answer at once and stand still.
+ * Runs the cores of many daemons in one process with simulated time and a
+ * message queue instead of the network, to measure and test the messages
+ * between daemons. Upstreams answer at once and don't change on their own.
  */
 import {
   type CoreSettings,
@@ -25,9 +25,9 @@
 
 export const TICK_MS = 20;
 const MAX_RETRY_MS = 10_000;
-const WATCH_WAIT_MS = 10_000;
+const WATCH_TIMEOUT_MS = 10_000;
 
-/** What one daemon has done since its counts were cleared. */
+/** Traffic of one daemon since its counts were cleared. */
 export interface NodeCounts {
   bytesSent: number;
   bytesReceived: number;
@@ -43,29 +43,32 @@
   isAlive: boolean;
   isPaused: boolean;
   isReading: boolean;
-  /** Times and failures of this daemon's reading of the platform. */
+  /** State of this daemon's reads of the platform. */
   platform: { nextCallAt: number; failures: number; knownRevision: number };
   inbox: { from: string; bytes: Uint8Array }[];
   outbox: Map<string, PeerMessage[]>;
   pending: CoreEvent[];
-  /** Reasons of the requests that it refused. */
+  /** Reasons for which it refused requests. */
   refusals: RefusalReason[];
 }
 
 export interface ControlFleetOptions {
   hosts: readonly HostStructure[];
   settings?: Partial<CoreSettings>;
-  /** Time between ticks of a daemon; a multiple of the step. */
+  /** Time between ticks of a daemon; a multiple of `TICK_MS`. */
   tickMs?: number;
-  /** Calls that one reading of the tables takes. */
+  /** Number of calls for one read of the tables. */
   callsPerReading?: number;
-  /** Whether bytes are counted by kind of message, which costs time. */
+  /** Whether to count bytes by kind of message, which is slow. */
   isKindCounted?: boolean;
-  /** Which daemons of the host list run; all when absent. */
+  /** Returns whether a daemon of the host list runs; all do by default. */
   isRun?: (host: HostStructure) => boolean;
 }
 
-/** What happens to an envelope on its way: the delays of its copies. */
+/**
+ * Returns the delays of the delivered copies of an envelope; none when it is
+ * lost.
+ */
 export type Transit = (from: string, to: string) => readonly number[];
 
 export class ControlFleet {
@@ -75,9 +78,9 @@
   tables: TablesStructure | undefined;
   hostList: HostListStructure;
   transit: Transit = () => [1];
-  /** Calls on the configuration service by second. */
+  /** Calls to the configuration service, by second. */
   readonly callsBySecond = new Map<number, number>();
-  /** Upstreams' states, which tests change. */
+  /** States of the upstreams; tests change them. */
   readonly upstreams = new Map<string, UpstreamStateStructure>();
   readonly #options: ControlFleetOptions;
   readonly #queue = new Map<
@@ -114,7 +117,7 @@
     return [...this.nodes.values()];
   }
 
-  /** Starts a daemon, anew if it ran before. */
+  /** Starts a daemon; one that ran before restarts with a new incarnation. */
   startNode(host: HostStructure): FleetNode {
     this.#incarnations += 1;
     const seedHosts = this.hostList.hosts.filter((entry) =>
@@ -150,9 +153,9 @@
     this.callsBySecond.clear();
   }
 
-  /** Lets the time pass in steps of a tick. */
-  run(spanMs: number): void {
-    const endsAt = this.now + spanMs;
+  /** Advances the time in steps of `TICK_MS`. */
+  run(durationMs: number): void {
+    const endsAt = this.now + durationMs;
     while (this.now < endsAt) {
       this.now += TICK_MS;
       this.#deliver();
@@ -162,20 +165,23 @@
     }
   }
 
-  /** Runs until the condition holds; returns the time that it took, or infinity. */
-  runUntil(isHeld: () => boolean, limitMs: number): number {
+  /**
+   * Runs until the condition holds; returns the elapsed time, or infinity at
+   * the limit.
+   */
+  runUntil(isSatisfied: () => boolean, limitMs: number): number {
     const startedAt = this.now;
     while (this.now - startedAt < limitMs) {
-      if (isHeld()) return this.now - startedAt;
+      if (isSatisfied()) return this.now - startedAt;
       this.run(TICK_MS);
     }
     return Number.POSITIVE_INFINITY;
   }
 
-  /** Hands an event to a daemon and carries out what follows. */
+  /** Passes an event to a daemon and runs its effects. */
   handle(node: FleetNode, event: CoreEvent): void {
     for (const effect of node.core.handle(event, this.now)) {
-      this.#carryOut(node, effect);
+      this.#runEffect(node, effect);
     }
   }
 
@@ -190,10 +196,10 @@
     if (this.now % (this.#options.tickMs ?? TICK_MS) === 0) {
       this.handle(node, { kind: "tick" });
     }
-    this.#post(node);
+    this.#flushOutbox(node);
   }
 
-  #carryOut(node: FleetNode, effect: Effect): void {
+  #runEffect(node: FleetNode, effect: Effect): void {
     switch (effect.kind) {
       case "send": {
         const messages = node.outbox.get(effect.to) ?? [];
@@ -231,7 +237,7 @@
     }
   }
 
-  #post(node: FleetNode): void {
+  #flushOutbox(node: FleetNode): void {
     for (const [to, messages] of node.outbox) {
       const bytes = encodeEnvelope({ from: node.host.id, messages });
       node.counts.bytesSent += bytes.length;
@@ -252,8 +258,8 @@
     const { bytesByKind } = node.counts;
     for (const message of messages) {
       const { length } = encodeEnvelope({ from: "", messages: [message] });
-      const known = bytesByKind.get(message.kind) ?? 0;
-      bytesByKind.set(message.kind, known + length);
+      const knownBytes = bytesByKind.get(message.kind) ?? 0;
+      bytesByKind.set(message.kind, knownBytes + length);
     }
   }
 
@@ -268,13 +274,13 @@
     }
   }
 
-  /** Follows the platform as the daemon's task does: reads, then watches. */
+  /** Reads the platform and then watches it, as the daemon's task does. */
   #readPlatform(node: FleetNode): void {
     const { platform } = node;
     const revision = this.tables?.revision ?? 0;
-    const isWoken = this.isPlatformUp && platform.knownRevision > 0 &&
+    const hasNewRevision = this.isPlatformUp && platform.knownRevision > 0 &&
       revision > platform.knownRevision;
-    if (this.now < platform.nextCallAt && !isWoken) return;
+    if (this.now < platform.nextCallAt && !hasNewRevision) return;
     this.#recordCalls(1);
     if (!this.isPlatformUp) {
       platform.failures += 1;
@@ -284,7 +290,7 @@
       return;
     }
     platform.failures = 0;
-    platform.nextCallAt = this.now + WATCH_WAIT_MS;
+    platform.nextCallAt = this.now + WATCH_TIMEOUT_MS;
     this.handle(node, { kind: "hostListPublished", hostList: this.hostList });
     if (this.tables && revision > platform.knownRevision) {
       this.#recordCalls(this.#options.callsPerReading ?? 1);
@@ -295,8 +301,8 @@
 
   #recordCalls(count: number): void {
     const second = Math.floor(this.now / 1_000);
-    const known = this.callsBySecond.get(second) ?? 0;
-    this.callsBySecond.set(second, known + count);
+    const knownCalls = this.callsBySecond.get(second) ?? 0;
+    this.callsBySecond.set(second, knownCalls + count);
   }
 }
 
--- a/bench/control/envelope_command.ts
+++ b/bench/control/envelope_command.ts
@@ -1,4 +1,7 @@
-/** `bench envelope`: bytes on the wire and processor time of one envelope between two real peer tasks. */
+/**
+ * `bench envelope`: measures the bytes on the wire and the processor time of
+ * one envelope between two real peer tasks.
+ */
 import { connect, createServer, type Server } from "node:net";
 import type { PeerMessage } from "../../src/core/messages.ts";
 import { createBus } from "../../src/daemon/bus.ts";
@@ -8,11 +11,11 @@
 import { daemonSettingsSchema } from "../../src/settings/daemon_settings.ts";
 import type { Subcommand } from "../subcommand.ts";
 
-const WARM_UPS = 200;
+const WARM_UP_ENVELOPES = 200;
 const ENVELOPES = 2_000;
-const LOST_AFTER_MS = 2_000;
-const LISTEN = "127.0.0.1:0";
-/** Bytes of the headers of IP and TCP, with timestamps, of one segment. */
+const DELIVERY_TIMEOUT_MS = 2_000;
+const LOOPBACK_ANY_PORT = "127.0.0.1:0";
+/** Size of the IP and TCP headers of one segment, with timestamps. */
 const SEGMENT_HEADER_BYTES = 52;
 
 export const envelopeCommand: Subcommand = {
@@ -30,9 +33,9 @@
   messageBytes: number;
   forthBytes: number;
   backBytes: number;
-  /** Beside the message, with one segment each way. */
+  /** Bytes beyond the message, assuming one segment in each direction. */
   overheadBytes: number;
-  /** Both ends together. */
+  /** Of sender and receiver together. */
   processorUs: number;
 }
 
@@ -40,15 +43,15 @@
   const receiverBus = createBus();
   const receiver = createTask("entry-b", receiverBus, "");
   const port = await receiver.start();
-  const traffic = { forth: 0, back: 0 };
-  const relay = await startRelay(port, traffic);
+  const byteCounts = { toReceiverBytes: 0, toSenderBytes: 0 };
+  const proxy = await startCountingProxy(port, byteCounts);
   const senderBus = createBus();
-  const sender = createTask("entry-a", senderBus, relay.address);
+  const sender = createTask("entry-a", senderBus, proxy.address);
   let received = 0;
-  let notify = (): void => {};
+  let notifyArrival = (): void => {};
   receiverBus.on("event", () => {
     received += 1;
-    notify();
+    notifyArrival();
   });
   const message: PeerMessage = {
     kind: "probeRequest",
@@ -57,30 +60,30 @@
   };
   const sendAll = async (count: number): Promise<void> => {
     for (let sent = 0; sent < count; sent += 1) {
-      const before = received;
-      const arrived = new Promise<void>((resolve) => notify = resolve);
+      const receivedBefore = received;
+      const arrived = new Promise<void>((resolve) => notifyArrival = resolve);
       await senderBus.emit("send", { kind: "send", to: "entry-b", message });
       const timeout = new Promise<void>((resolve) =>
-        setTimeout(resolve, LOST_AFTER_MS)
+        setTimeout(resolve, DELIVERY_TIMEOUT_MS)
       );
-      if (received === before) await Promise.race([arrived, timeout]);
+      if (received === receivedBefore) await Promise.race([arrived, timeout]);
     }
   };
-  await sendAll(WARM_UPS);
-  traffic.forth = 0;
-  traffic.back = 0;
-  const before = process.cpuUsage();
+  await sendAll(WARM_UP_ENVELOPES);
+  byteCounts.toReceiverBytes = 0;
+  byteCounts.toSenderBytes = 0;
+  const cpuBefore = process.cpuUsage();
   await sendAll(ENVELOPES);
-  const { user, system } = process.cpuUsage(before);
+  const { user, system } = process.cpuUsage(cpuBefore);
   sender.stop();
   receiver.stop();
-  relay.server.close();
+  proxy.server.close();
   const messageBytes = encodeEnvelope({
     from: "entry-a",
     messages: [message],
   }).length;
-  const forthBytes = traffic.forth / ENVELOPES;
-  const backBytes = traffic.back / ENVELOPES;
+  const forthBytes = byteCounts.toReceiverBytes / ENVELOPES;
+  const backBytes = byteCounts.toSenderBytes / ENVELOPES;
   return {
     messageBytes,
     forthBytes: Math.round(forthBytes),
@@ -100,30 +103,30 @@
   const settings = daemonSettingsSchema.parse({
     id,
     failureDomain: "a",
-    callers: { listen: LISTEN },
-    peers: { listen: LISTEN },
-    operators: { listen: LISTEN },
+    callers: { listen: LOOPBACK_ANY_PORT },
+    peers: { listen: LOOPBACK_ANY_PORT },
+    operators: { listen: LOOPBACK_ANY_PORT },
     platform: { configuration: "127.0.0.1:1", hostList: "127.0.0.1:1" },
   });
   const logger = createLogger(id, "error");
   return new PeerTask({ settings, bus, logger, getAddress: () => address });
 }
 
-/** Passes connections on to the port and counts the bytes each way. */
-async function startRelay(
+/** Starts a TCP proxy to the port that counts the bytes in each direction. */
+async function startCountingProxy(
   port: number,
-  traffic: { forth: number; back: number },
+  byteCounts: { toReceiverBytes: number; toSenderBytes: number },
 ): Promise<{ server: Server; address: string }> {
   const server = createServer((incoming) => {
     const outgoing = connect(port, "127.0.0.1");
     outgoing.setNoDelay(true);
     incoming.setNoDelay(true);
     incoming.on("data", (chunk) => {
-      traffic.forth += chunk.length;
+      byteCounts.toReceiverBytes += chunk.length;
       outgoing.write(chunk);
     });
     outgoing.on("data", (chunk) => {
-      traffic.back += chunk.length;
+      byteCounts.toSenderBytes += chunk.length;
       incoming.write(chunk);
     });
     incoming.on("error", () => outgoing.destroy());
@@ -133,6 +136,6 @@
   await new Promise<void>((resolve) =>
     server.listen(0, "127.0.0.1", () => resolve())
   );
-  const { port: relayPort } = server.address() as { port: number };
-  return { server, address: `127.0.0.1:${relayPort}` };
+  const { port: proxyPort } = server.address() as { port: number };
+  return { server, address: `127.0.0.1:${proxyPort}` };
 }
--- a/bench/control/fleet_tables.ts
+++ b/bench/control/fleet_tables.ts
@@ -1,4 +1,7 @@
-/** Hosts and tables of given sizes, for the benches and tests of what daemons tell each other. */
+/**
+ * Creates hosts and tables of given sizes, for benchmarks and tests of messages
+ * between daemons.
+ */
 import type {
   HostStructure,
   PoolStructure,
@@ -10,7 +13,7 @@
   domains: number;
   daemonsPerDomain: number;
   upstreamsPerDomain: number;
-  /** Pools; each spans all failure domains. */
+  /** Number of pools; each spans all failure domains. */
   pools: number;
   routes: number;
 }
@@ -104,7 +107,7 @@
   };
 }
 
-/** Returns the tables at the next revision, with the version of one route changed. */
+/** Returns the next revision of the tables, with a new version of one route. */
 export function editTables(
   tables: TablesStructure,
   routeIndex: number,
--- a/bench/control/slope.ts
+++ b/bench/control/slope.ts
@@ -1,4 +1,7 @@
-/** Returns the slope of the least-squares line through the points; 0 for fewer than two. */
+/**
+ * Returns the slope of the least-squares line through the points; 0 for fewer
+ * than two.
+ */
 export function computeSlope(points: readonly (readonly number[])[]): number {
   if (points.length < 2) return 0;
   const count = points.length;
--- a/bench/control/wake_command.ts
+++ b/bench/control/wake_command.ts
@@ -1,4 +1,8 @@
-/** `bench wake`: every daemon of the target starts, wakes, or loses and regains the platform at once. */
+/**
+ * `bench wake`: measures the calls on the platform when all daemons of the
+ * target scale start, resume after a pause, or lose and regain the platform at
+ * the same time.
+ */
 import type { Subcommand } from "../subcommand.ts";
 import { ControlFleet } from "./control_fleet.ts";
 import { createHosts, createTables, type FleetSizes } from "./fleet_tables.ts";
