--- a/bench/decide/decide_command.ts
+++ b/bench/decide/decide_command.ts
@@ -1,4 +1,7 @@
-/** `bench decide`: processor time and bytes of single decisions, as the numbers of adapters, upstreams and peers grow. */
+/**
+ * `bench decide`: measures the processor time and message bytes of single
+ * decisions at growing numbers of adapters, upstreams and peers.
+ */
 import { encodeEnvelope } from "../../src/protocol/peer_codec.ts";
 import type { PeerMessage } from "../../src/core/messages.ts";
 import { ControlFleet, type FleetNode } from "../control/control_fleet.ts";
@@ -12,11 +15,14 @@
 
 const SETTLE_MS = 6_000;
 const REPEATS = 2_000;
-const WARM_UPS = 500;
-const SLOTS = 16;
+const WARM_UP_RUNS = 500;
+const RESIDENTS_PER_UPSTREAM = 16;
 
-/** Sizes at 1, 10 and 100 times: one failure domain, its daemons, upstreams and adapters. */
-const BASE = { daemons: 2, upstreams: 10, adapters: 640 };
+/**
+ * Sizes at scale 1: one failure domain with its daemons, upstreams and
+ * adapters.
+ */
+const BASE_SIZES = { daemons: 2, upstreams: 10, adapters: 640 };
 
 interface DecideRow {
   scale: number;
@@ -64,26 +70,26 @@
 };
 
 function measureDecisions(scale: number): DecideRow {
-  const daemons = Math.min(82, BASE.daemons * scale);
+  const daemons = Math.min(82, BASE_SIZES.daemons * scale);
   const sizes: FleetSizes = {
     domains: 1,
     daemonsPerDomain: daemons,
-    upstreamsPerDomain: BASE.upstreams * scale,
+    upstreamsPerDomain: BASE_SIZES.upstreams * scale,
     pools: scale === 1 ? 1 : 6,
-    routes: BASE.adapters * scale,
+    routes: BASE_SIZES.adapters * scale,
   };
   const fleet = startFleet(sizes);
   const node = fleet.getNode("entry-0-0");
   const upstreamIds = [...fleet.upstreams.keys()];
   const arrivals = measureArrivals(fleet, node, sizes.routes);
-  const lease = measureLeases(fleet, upstreamIds);
+  const leaseFigures = measureLeases(fleet, upstreamIds);
   return {
     scale,
     daemons,
     upstreams: sizes.upstreamsPerDomain,
     adapters: sizes.routes,
     arrivalUs: arrivals,
-    ...lease,
+    ...leaseFigures,
     ownerLookupUs: measureOwnerLookups(node, upstreamIds),
     ownerAfterChangeUs: measureOwnerChange(fleet, node, upstreamIds),
     idleTickUs: measureTicks(fleet, node),
@@ -102,7 +108,7 @@
     if (!state) continue;
     fleet.upstreams.set(id, {
       ...state,
-      residents: Array.from({ length: SLOTS }, (_, slot) => ({
+      residents: Array.from({ length: RESIDENTS_PER_UPSTREAM }, (_, slot) => ({
         adapterKey: `adapter-${(index + slot * ids.length) % sizes.routes}@v1`,
         inFlight: 0,
       })),
@@ -112,13 +118,16 @@
   return fleet;
 }
 
-/** Measures the arrival of a request up to its lease request, with its departure. */
+/**
+ * Measures handling a request's arrival, up to its lease request, and its
+ * cancellation by the caller.
+ */
 function measureArrivals(
   fleet: ControlFleet,
   node: FleetNode,
   routes: number,
 ): number {
-  const sendArrival = (index: number): void => {
+  const handleArrival = (index: number): void => {
     const requestId = `r${index}`;
     node.core.handle({
       kind: "requestArrived",
@@ -129,10 +138,13 @@
     }, fleet.now);
     node.core.handle({ kind: "callerGone", requestId }, fleet.now);
   };
-  return measureMicroseconds(sendArrival);
+  return measureMicroseconds(handleArrival);
 }
 
-/** Measures a lease request and the return of what was granted, at the owner of a resident adapter. */
+/**
+ * Measures a lease request and the return of the granted credit, at the owner
+ * of an upstream that has the adapter resident.
+ */
 function measureLeases(
   fleet: ControlFleet,
   upstreamIds: readonly string[],
@@ -173,13 +185,13 @@
         continue;
       }
       const { leaseId } = effect.message;
-      const returned: PeerMessage = {
+      const leaseReturn: PeerMessage = {
         kind: "leaseReturn",
         leaseId,
         upstreamId,
         returnedCredits: 1,
       };
-      leaseBytes = [request, effect.message, returned].reduce(
+      leaseBytes = [request, effect.message, leaseReturn].reduce(
         (sum, message) =>
           sum +
           encodeEnvelope({ from: owner.host.id, messages: [message] }).length,
@@ -188,7 +200,7 @@
       owner.core.handle({
         kind: "peerMessage",
         from: "entry-x",
-        message: returned,
+        message: leaseReturn,
       }, fleet.now);
     }
   };
@@ -204,20 +216,23 @@
   });
 }
 
-/** Measures the first tick after the death of a peer, which works out every owner anew. */
+/**
+ * Measures the first owner lookup of each upstream after a peer has died, when
+ * every owner has to be computed anew.
+ */
 function measureOwnerChange(
   fleet: ControlFleet,
   node: FleetNode,
   upstreamIds: readonly string[],
 ): number {
-  const victim = fleet.listNodes().at(-1);
-  if (!victim || victim === node) return 0;
-  const before = fleet.listNodes().length;
-  victim.isAlive = false;
+  const stoppedNode = fleet.listNodes().at(-1);
+  if (!stoppedNode || stoppedNode === node) return 0;
+  const peerCount = fleet.listNodes().length;
+  stoppedNode.isAlive = false;
   fleet.runUntil(
     () =>
       node.core.describe(fleet.now).peers.filter((peer) => peer.live).length <
-        before - 1,
+        peerCount - 1,
     10_000,
   );
   const startedAt = performance.now();
@@ -232,9 +247,9 @@
 }
 
 function measureMicroseconds(run: (index: number) => void): number {
-  for (let index = 0; index < WARM_UPS; index += 1) run(index);
+  for (let index = 0; index < WARM_UP_RUNS; index += 1) run(index);
   const startedAt = performance.now();
-  for (let index = 0; index < REPEATS; index += 1) run(WARM_UPS + index);
+  for (let index = 0; index < REPEATS; index += 1) run(WARM_UP_RUNS + index);
   const ms = performance.now() - startedAt;
   return Number((ms * 1_000 / REPEATS).toFixed(2));
 }
