--- a/bench/start/start_command.ts
+++ b/bench/start/start_command.ts
@@ -1,4 +1,7 @@
-/** `bench start`: time and memory to hold the routes of all adapters, from the platform's keys and from a peer. */
+/**
+ * `bench start`: measures the time and memory to load the routes of all
+ * adapters, from the platform's keys and from a peer.
+ */
 import { Buffer } from "node:buffer";
 import { stringify } from "yaml";
 import type { PeerMessage } from "../../src/core/messages.ts";
@@ -19,7 +22,7 @@
 import { computeSlope } from "../control/slope.ts";
 import type { Subcommand } from "../subcommand.ts";
 
-/** Size of one key of the configuration service. */
+/** Number of routes in one key of the configuration service. */
 const ROUTES_PER_KEY = 500;
 const CHANGES = 50;
 
@@ -80,19 +83,19 @@
     routes,
   };
   const source = createTables(sizes, 2);
-  const files = createFiles(source).map((file) => ({
+  const files = createTableFiles(source).map((file) => ({
     ...file,
     text: Buffer.from(file.text).toString(),
   }));
   const parsed = measureTime(() => parseTables(files, 2).unwrap());
   const oneKey = measureTime(() => parseTables(files.slice(0, 2), 2));
   const heapBefore = measureHeap();
-  const keeper = new TableReplica();
-  keeper.offerTables(structuredClone(parsed.result));
+  const replica = new TableReplica();
+  replica.offerTables(structuredClone(parsed.result));
   const heldMegabytes = (measureHeap() - heapBefore) / 1_048_576;
-  const peer = measurePeerTransfer(keeper);
-  const publishedChangeMs = measurePublishedChange(keeper, source, files);
-  const change = measureChanges(keeper, parsed.result);
+  const peer = measurePeerTransfer(replica);
+  const publishedChangeMs = measurePublishedChange(replica, source, files);
+  const change = measureDeltas(replica, parsed.result);
   return {
     routes,
     keys: files.length,
@@ -106,7 +109,7 @@
   };
 }
 
-function createFiles(tables: TablesStructure): TableFile[] {
+function createTableFiles(tables: TablesStructure): TableFile[] {
   const { customers, pools, routes } = tables;
   const files = [{ name: "pools", text: stringify({ customers, pools }) }];
   for (let start = 0; start < routes.length; start += ROUTES_PER_KEY) {
@@ -116,25 +119,28 @@
   return files;
 }
 
-/** Moves the whole in chunks from one exchange to another, through the codec. */
+/**
+ * Transfers all tables in chunks from one exchange to another, through the
+ * codec.
+ */
 function measurePeerTransfer(
-  keeper: TableReplica,
+  replica: TableReplica,
 ): Pick<
   StartRow,
   "fromPeerMs" | "peerMessages" | "peerBytes" | "largestMessageBytes"
 > {
   const queue: { to: "server" | "client"; message: PeerMessage }[] = [];
   const counts = { peerMessages: 0, peerBytes: 0, largestMessageBytes: 0 };
-  const server = createExchange(keeper, "client", queue);
-  const target = new TableReplica();
-  const client = createExchange(target, "server", queue);
+  const server = createExchange(replica, "client", queue);
+  const receivingReplica = new TableReplica();
+  const client = createExchange(receivingReplica, "server", queue);
   const { ms } = measureTime(() => {
     client.handlePeerRevisions("server", {
-      tablesRevision: keeper.getTablesRevision(),
+      tablesRevision: replica.getTablesRevision(),
       hostListRevision: 0,
     }, 0);
-    for (let entry = queue.shift(); entry; entry = queue.shift()) {
-      const bytes = encodeEnvelope({ from: "", messages: [entry.message] });
+    for (let queued = queue.shift(); queued; queued = queue.shift()) {
+      const bytes = encodeEnvelope({ from: "", messages: [queued.message] });
       counts.peerMessages += 1;
       counts.peerBytes += bytes.length;
       counts.largestMessageBytes = Math.max(
@@ -156,18 +162,18 @@
       }
     }
   });
-  if (target.getTablesRevision() !== keeper.getTablesRevision()) {
-    throw new Error("Expected the transfer to complete, found it torn");
+  if (receivingReplica.getTablesRevision() !== replica.getTablesRevision()) {
+    throw new Error("Expected the transfer to complete, found it incomplete");
   }
   return { fromPeerMs: ms, ...counts };
 }
 
 function createExchange(
-  keeper: TableReplica,
+  replica: TableReplica,
   to: "server" | "client",
   queue: { to: "server" | "client"; message: PeerMessage }[],
 ): TableExchange {
-  return new TableExchange(keeper, {
+  return new TableExchange(replica, {
     emit: (effect) => {
       if (effect.kind === "send") queue.push({ to, message: effect.message });
     },
@@ -178,38 +184,44 @@
   });
 }
 
-/** Measures what a reader spends on one changed route: its key parsed, the delta found and taken. */
+/**
+ * Measures the cost of one changed route for a daemon that reads the platform:
+ * it parses the key, computes the delta and applies it.
+ */
 function measurePublishedChange(
-  keeper: TableReplica,
+  replica: TableReplica,
   source: TablesStructure,
   files: readonly TableFile[],
 ): number {
   const fileSet = new TableFileSet();
   for (const file of files) fileSet.parseFile(file);
   fileSet.setBaseline(files, 2);
-  const edited = createFiles(editTables(source, 1)).map((file) => ({
+  const edited = createTableFiles(editTables(source, 1)).map((file) => ({
     ...file,
     text: Buffer.from(file.text).toString(),
   }));
   const { ms } = measureTime(() => {
     const delta = fileSet.findDelta(edited, 3);
-    const result = delta && keeper.offerPublishedDelta(delta);
+    const result = delta && replica.offerPublishedDelta(delta);
     if (result?.kind !== "accepted") {
-      throw new Error(`Expected a delta to be taken, found ${result?.kind}`);
+      throw new Error(`Expected a delta to be accepted, found ${result?.kind}`);
     }
   });
   return ms;
 }
 
-/** Measures one changed route as a delta, as every daemon but the readers takes it. */
-function measureChanges(
-  keeper: TableReplica,
+/**
+ * Measures applying one changed route as a delta, as all daemons do that don't
+ * read the platform themselves.
+ */
+function measureDeltas(
+  replica: TableReplica,
   tables: TablesStructure,
 ): Pick<StartRow, "deltaBytes" | "deltaMs"> {
-  const first = editTables(tables, 1);
-  let snapshot = TableSnapshot.createFrom(first);
+  const editedTables = editTables(tables, 1);
+  let snapshot = TableSnapshot.createFrom(editedTables);
   const deltas = Array.from({ length: CHANGES }, (_, index) => {
-    const route = first.routes[index % first.routes.length];
+    const route = editedTables.routes[index % editedTables.routes.length];
     if (!route) throw new Error("Expected a route, found none");
     const next = snapshot.apply({
       fromRevision: snapshot.revision,
@@ -228,7 +240,7 @@
   });
   const applied = measureTime(() => {
     for (const delta of deltas) {
-      const result = keeper.offerTablesDelta(delta);
+      const result = replica.offerTablesDelta(delta);
       if (result.kind !== "accepted") {
         throw new Error(
           `Expected a delta to be accepted, found ${result.kind}`,
