--- a/bench/relay/pipe_main.ts
+++ b/bench/relay/pipe_main.ts
@@ -1,4 +1,7 @@
-/** The least that a relay can be: node:http on one side, undici on the other, and a pipe between them. */
+/**
+ * A minimal relay as the baseline: pipes requests from node:http to undici and
+ * responses back.
+ */
 import { createServer } from "node:http";
 import process from "node:process";
 import { pipeline } from "node:stream/promises";
@@ -15,12 +18,12 @@
     method: "POST",
     headers: { "content-type": "application/json" },
     body: request,
-  }).then(async (answer) => {
-    response.writeHead(answer.statusCode, {
-      "content-type": String(answer.headers["content-type"]),
+  }).then(async (upstreamResponse) => {
+    response.writeHead(upstreamResponse.statusCode, {
+      "content-type": String(upstreamResponse.headers["content-type"]),
     });
     response.flushHeaders();
-    await pipeline(answer.body, response);
+    await pipeline(upstreamResponse.body, response);
   }).catch(() => response.destroy());
 });
 
--- a/bench/relay/relay_command.ts
+++ b/bench/relay/relay_command.ts
@@ -1,4 +1,7 @@
-/** `bench relay`: processor time for each relayed event through a daemon, against a bare pipe in the same run. */
+/**
+ * `bench relay`: compares the processor time per relayed event of a daemon with
+ * that of a bare pipe in the same run.
+ */
 import { setTimeout as sleep } from "node:timers/promises";
 import type { Fleet } from "../../scripts/fleet.ts";
 import type { Subcommand, SubcommandArguments } from "../subcommand.ts";
@@ -10,10 +13,16 @@
   startStreams,
 } from "./relay_targets.ts";
 
-/** Time for which idle daemons are measured, and for which streams settle. */
+/**
+ * Time for which idle relays are measured, and wait before streams are
+ * measured.
+ */
 const SETTLE_MS = 2_000;
 const MS_PER_SECOND = 1_000;
-/** Relayed tokens a second that one of 900 daemons has to carry at the target's peak. */
+/**
+ * Tokens per second that each of 900 daemons relays at the peak of the target
+ * scale.
+ */
 const TARGET_EVENTS_PER_SECOND = 42_000;
 const US_PER_SECOND = 1_000_000;
 
@@ -22,9 +31,9 @@
   eventsPerSecond: number;
   idleUsPerSecond: number;
   usPerEvent: number;
-  /** Against the bare pipe. */
+  /** Processor time per event, relative to the bare pipe. */
   ratio: number;
-  /** Cores that the target's rate would take. */
+  /** CPU cores needed for the event rate of the target scale. */
   coresAtTarget: number;
 }
 
@@ -72,14 +81,22 @@
   fleets: Fleet[],
 ): Promise<RelayRow[]> {
   const streams = Number(options["streams"]);
-  const shape = { streams, tokenIntervalMs: Number(options["interval-ms"]) };
-  const other = String(options["compare"] ?? "");
+  const engineOptions = {
+    streams,
+    tokenIntervalMs: Number(options["interval-ms"]),
+  };
+  const comparedProgram = String(options["compare"] ?? "");
   const targets = [
-    await startPipeTarget(shape, fleets),
-    await startDaemonTarget("daemon", shape, fleets),
-    ...(other === ""
-      ? []
-      : [await startDaemonTarget("compared", shape, fleets, other)]),
+    await startPipeTarget(engineOptions, fleets),
+    await startDaemonTarget("daemon", engineOptions, fleets),
+    ...(comparedProgram === "" ? [] : [
+      await startDaemonTarget(
+        "compared",
+        engineOptions,
+        fleets,
+        comparedProgram,
+      ),
+    ]),
   ];
   const idle = await measure(targets, SETTLE_MS);
   await startStreams(targets, streams);
@@ -91,11 +108,11 @@
   for (const { client } of targets) await client.stop();
   const pipeUsPerEvent = computeUsPerEvent(busy[0]);
   return targets.map(({ name }, index) => {
-    const change = busy[index] ?? { at: 0, events: 0, processorUs: 0 };
-    const usPerEvent = computeUsPerEvent(change);
+    const difference = busy[index] ?? { at: 0, events: 0, processorUs: 0 };
+    const usPerEvent = computeUsPerEvent(difference);
     return {
       target: name,
-      eventsPerSecond: change.events / change.at * MS_PER_SECOND,
+      eventsPerSecond: difference.events / difference.at * MS_PER_SECOND,
       idleUsPerSecond: computeUsPerSecond(idle[index]),
       usPerEvent,
       ratio: usPerEvent / pipeUsPerEvent,
@@ -104,7 +121,7 @@
   });
 }
 
-/** Returns what changed at each target within the time. */
+/** Returns the difference of each target's samples over the duration. */
 async function measure(
   targets: readonly RelayTarget[],
   durationMs: number,
@@ -130,12 +147,16 @@
   };
 }
 
-function computeUsPerEvent(change: Sample | undefined): number {
-  return change ? change.processorUs / Math.max(1, change.events) : 0;
+function computeUsPerEvent(difference: Sample | undefined): number {
+  return difference
+    ? difference.processorUs / Math.max(1, difference.events)
+    : 0;
 }
 
-function computeUsPerSecond(change: Sample | undefined): number {
-  return change ? change.processorUs / change.at * MS_PER_SECOND : 0;
+function computeUsPerSecond(difference: Sample | undefined): number {
+  return difference
+    ? difference.processorUs / difference.at * MS_PER_SECOND
+    : 0;
 }
 
 function formatRow(row: RelayRow): string {
--- a/bench/relay/relay_targets.ts
+++ b/bench/relay/relay_targets.ts
@@ -1,4 +1,7 @@
-/** The relays that are measured: a daemon, another version of it, and a bare pipe, each before an engine of its own. */
+/**
+ * The measured relays: a daemon, another version of it, and a bare pipe, each
+ * in front of its own engine.
+ */
 import { readFileSync } from "node:fs";
 import {
   createUpstreamHost,
@@ -10,7 +13,7 @@
 import { Fleet, waitUntil } from "../../scripts/fleet.ts";
 import { StreamClient } from "./stream_client.ts";
 
-/** Ticks of processor time a second in `/proc/<pid>/stat`. */
+/** Clock ticks per second in `/proc/<pid>/stat`. */
 const TICKS_PER_SECOND = 100;
 const US_PER_TICK = 1_000_000 / TICKS_PER_SECOND;
 const UTIME_FIELD = 11;
@@ -24,18 +27,24 @@
   client: StreamClient;
 }
 
-export interface EngineShape {
+export interface EngineOptions {
   streams: number;
   tokenIntervalMs: number;
 }
 
-/** Starts an engine that sends a token on each stream at the given interval, without end. */
-async function startEngine(fleet: Fleet, shape: EngineShape): Promise<string> {
+/**
+ * Starts an engine whose streams send a token at the given interval and
+ * practically never end.
+ */
+async function startEngine(
+  fleet: Fleet,
+  engineOptions: EngineOptions,
+): Promise<string> {
   const { address } = await fleet.startFake("engine", "engine", [
     "--batch-size",
-    String(shape.streams + 1),
+    String(engineOptions.streams + 1),
     "--token-interval-ms",
-    String(shape.tokenIntervalMs),
+    String(engineOptions.tokenIntervalMs),
     "--tokens",
     "1000000",
     "--load-time-ms",
@@ -44,10 +53,10 @@
   return address;
 }
 
-/** Starts a daemon, of this version or of another whose program is given. */
+/** Starts a daemon of this version, or the given program of another version. */
 export async function startDaemonTarget(
   name: string,
-  shape: EngineShape,
+  engineOptions: EngineOptions,
   fleets: Fleet[],
   daemonMain?: string,
 ): Promise<RelayTarget> {
@@ -57,7 +66,7 @@
     fleet.startFake("configuration", "configuration"),
     fleet.startFake("host_list", "hostList"),
   ]);
-  const address = await startEngine(fleet, shape);
+  const address = await startEngine(fleet, engineOptions);
   await fleet.reserveDaemon(name, FAILURE_DOMAIN);
   const service = "brief-writer";
   await fleet.writeHosts([
@@ -66,7 +75,7 @@
       service,
     }),
   ]);
-  const batchSize = shape.streams + 1;
+  const batchSize = engineOptions.streams + 1;
   await fleet.writeTable(
     "pools",
     formatPools().replace("batchSize: 8", `batchSize: ${batchSize}`),
@@ -84,12 +93,12 @@
 
 /** Starts the bare pipe. */
 export async function startPipeTarget(
-  shape: EngineShape,
+  engineOptions: EngineOptions,
   fleets: Fleet[],
 ): Promise<RelayTarget> {
   const fleet = new Fleet();
   fleets.push(fleet);
-  const address = await startEngine(fleet, shape);
+  const address = await startEngine(fleet, engineOptions);
   await fetch(`http://${address}/v1/load_lora_adapter`, {
     method: "POST",
     headers: { "content-type": "application/json" },
@@ -107,7 +116,7 @@
   return { name: "pipe", pid: pipe.child.pid ?? 0, client };
 }
 
-/** Opens the streams of every target and waits until all of them run. */
+/** Opens the streams of all targets and waits until all are open. */
 export async function startStreams(
   targets: readonly RelayTarget[],
   streams: number,
@@ -122,7 +131,7 @@
   }
 }
 
-/** Returns the processor time that a process has used, in microseconds. */
+/** Returns the processor time used by a process, in microseconds. */
 export function readProcessorTimeUs(pid: number): number {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
--- a/bench/relay/stream_client.ts
+++ b/bench/relay/stream_client.ts
@@ -1,4 +1,4 @@
-/** Holds many streams open at once and counts the events that come. */
+/** Keeps many streams open at once and counts the received events. */
 import type { Buffer } from "node:buffer";
 import { Agent } from "undici";
 
@@ -29,7 +29,7 @@
     return this.#open;
   }
 
-  /** Opens the streams; one that ends is opened anew until the client stops. */
+  /** Opens the streams and reopens each that ends, until the client stops. */
   start(streams: number): void {
     for (let index = 0; index < streams; index += 1) {
       void this.#runStream(index);
