--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,4 +1,7 @@
-/** Entry point of `npm run bench -- <command>`: lists the commands and runs the chosen one. */
+/**
+ * Entry point of `npm run bench -- <command>`: registers the commands and runs
+ * one.
+ */
 import sade from "sade";
 import { controlCommand } from "./control/control_command.ts";
 import { envelopeCommand } from "./control/envelope_command.ts";
--- a/bench/policy/fakes.ts
+++ b/bench/policy/fakes.ts
@@ -150,14 +150,14 @@
   }
 
   /** Ends the runs of callers that a partition separates from the engine. */
-  interruptRuns(
+  abortRuns(
     isAffected: (attemptId: string) => boolean,
     now: number,
   ): void {
     for (const run of [...this.#runs]) {
       if (!isAffected(run.attemptId)) continue;
       this.#runs.splice(this.#runs.indexOf(run), 1);
-      this.#endInterrupted(run, now);
+      this.#endLost(run, now);
     }
   }
 
@@ -204,7 +204,7 @@
     this.#incarnation += 1;
     this.#residents.clear();
     this.#snapshots.length = 0;
-    for (const run of this.#runs.splice(0)) this.#endInterrupted(run, now);
+    for (const run of this.#runs.splice(0)) this.#endLost(run, now);
     this.#options.heap.schedule(now + downMs, () => {
       this.isUp = true;
     });
@@ -233,7 +233,7 @@
     this.#residents.delete(adapterKey);
   }
 
-  #endInterrupted(run: EngineRun, now: number): void {
+  #endLost(run: EngineRun, now: number): void {
     const bytesForwarded = run.hasStarted ? 1 : 0;
     run.reportEnd({ kind: "lost", detail: "cut", bytesForwarded }, now);
   }
--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -217,7 +217,7 @@
         this.#heap.schedule(fault.at, (now) => {
           this.#isolatedDomain =
             this.#options.deployment.failureDomains[fault.domain];
-          this.#interruptIsolatedRuns(now);
+          this.#abortIsolatedRuns(now);
         });
         this.#heap.schedule(fault.untilMs, () => {
           this.#isolatedDomain = undefined;
@@ -226,9 +226,9 @@
     }
   }
 
-  #interruptIsolatedRuns(now: number): void {
+  #abortIsolatedRuns(now: number): void {
     for (const engine of this.#upstreams.values()) {
-      engine.interruptRuns((attemptId) => {
+      engine.abortRuns((attemptId) => {
         const daemon = this.#daemonByAttempt.get(attemptId);
         return daemon !== undefined &&
           this.#isPartitioned(daemon, engine.host.id);
--- a/bench/subcommand.ts
+++ b/bench/subcommand.ts
@@ -1,10 +1,10 @@
-/** The form of one benchmark command; `main.ts` lists them. */
+/** Interface of the benchmark commands that `main.ts` registers. */
 
-/** One flag of a command, as sade takes it. */
+/** One flag of a command, in the form that sade expects. */
 export interface SubcommandOption {
   flags: string;
   description: string;
-  /** Value used when the flag is absent. */
+  /** Default value. */
   value?: string | boolean | number;
 }
 
@@ -17,6 +17,6 @@
   name: string;
   description: string;
   options: readonly SubcommandOption[];
-  /** Runs the command; an error thrown ends the process with exit code 1. */
+  /** Runs the command; if it throws, the process ends with exit code 1. */
   run(options: SubcommandArguments): Promise<void> | void;
 }
--- a/bench/tickets_command.ts
+++ b/bench/tickets_command.ts
@@ -1,14 +1,22 @@
-/** `bench tickets`: what repeated non-idempotent calls are answered while daemons restart and failure domains are cut off. */
+/**
+ * `bench tickets`: counts the answers to repeated non-idempotent calls while
+ * daemons restart and failure domains are partitioned.
+ */
 import { Site } from "../scripts/site.ts";
 import { waitUntil } from "../scripts/fleet.ts";
 import type { Subcommand, SubcommandArguments } from "./subcommand.ts";
 
-/** Room for all calls of a case at once. */
+/** Batch capacity for all calls of a case at once. */
 const BATCH_SIZE = 1_000;
-/** Time after which a home in another domain that does not answer is given up. */
+/**
+ * Time after which a call fails whose ticket issuer in another domain does not
+ * answer.
+ */
 const QUEUE_DEADLINE_MS = 5_000;
 
-/** Answers of one case, by reason; `ran` and `replayed` are answered calls. */
+/**
+ * Answers of one case by reason; `ran` and `replayed` are calls that succeeded.
+ */
 interface TicketCase {
   name: string;
   calls: number;
@@ -18,12 +26,12 @@
 }
 
 interface IssuedTicket {
-  home: string;
+  issuer: string;
   pen: number;
   ticket: string;
 }
 
-interface Bench {
+interface TicketBench {
   site: Site;
   tickets: number;
   nextPen: number;
@@ -57,48 +65,57 @@
   },
 };
 
-async function runCases(bench: Bench): Promise<TicketCase[]> {
+async function runCases(bench: TicketBench): Promise<TicketCase[]> {
   const { site } = bench;
   const [a1 = "", a2 = "", b1 = "", b2 = ""] = site.daemonIds;
   await waitUntilPeersLive(site);
   const cases: TicketCase[] = [];
-  const steady = await mintTickets(bench);
-  cases.push(await measure(site, "first call, all up", steady));
-  cases.push(await measure(site, "second call, all up", steady));
+  const steady = await issueTickets(bench);
+  cases.push(await sendOrders(site, "first call, all up", steady));
+  cases.push(await sendOrders(site, "second call, all up", steady));
 
-  const [cutSpent, cutUnused] = await mintBoth(bench);
-  await cutDomains(site, [a1, a2], [b1, b2]);
-  cases.push(await measure(site, "spent, other side of a partition", cutSpent));
+  const [partitionSpent, partitionUnused] = await issueSpentAndUnused(bench);
+  await partitionDomains(site, [a1, a2], [b1, b2]);
   cases.push(
-    await measure(site, "unused, other side of a partition", cutUnused),
+    await sendOrders(site, "spent, other side of a partition", partitionSpent),
   );
   cases.push(
-    await measure(site, "new, in a partition", await mintTickets(bench), 0),
+    await sendOrders(
+      site,
+      "unused, other side of a partition",
+      partitionUnused,
+    ),
+  );
+  cases.push(
+    await sendOrders(site, "new, in a partition", await issueTickets(bench), 0),
   );
   for (const id of site.daemonIds) await site.fleet.cut(id, {});
   await waitUntilPeersLive(site);
-  cases.push(await measure(site, "unused, partition healed", cutUnused));
+  cases.push(
+    await sendOrders(site, "unused, partition healed", partitionUnused),
+  );
 
-  const [lostSpent, lostUnused] = await mintBoth(bench);
+  const [stoppedSpent, stoppedUnused] = await issueSpentAndUnused(bench);
   site.fleet.signal(a1, "SIGKILL");
   await site.fleet.waitForExit(a1);
-  await waitUntilLost(site, a1);
-  const isOfLostHome = (ticket: IssuedTicket): boolean => ticket.home === a1;
+  await waitUntilAllReportDown(site, a1);
+  const isFromStoppedIssuer = (ticket: IssuedTicket): boolean =>
+    ticket.issuer === a1;
   const others = [a2, b1, b2];
   cases.push(
-    await measure(
+    await sendOrders(
       site,
       "spent, home lost",
-      lostSpent.filter(isOfLostHome),
+      stoppedSpent.filter(isFromStoppedIssuer),
       1,
       others,
     ),
   );
   cases.push(
-    await measure(
+    await sendOrders(
       site,
       "unused, home lost",
-      lostUnused.filter(isOfLostHome),
+      stoppedUnused.filter(isFromStoppedIssuer),
       1,
       others,
     ),
@@ -107,61 +124,68 @@
   await site.fleet.waitUntilServing([a1]);
   await waitUntilPeersLive(site);
   cases.push(
-    await measure(
+    await sendOrders(
       site,
       "spent, home restarted",
-      lostSpent.filter(isOfLostHome),
+      stoppedSpent.filter(isFromStoppedIssuer),
     ),
   );
   cases.push(
-    await measure(
+    await sendOrders(
       site,
       "unused, home restarted",
-      lostUnused.filter(isOfLostHome),
+      stoppedUnused.filter(isFromStoppedIssuer),
     ),
   );
   cases.push(
-    await measure(
+    await sendOrders(
       site,
       "spent, another daemon restarted",
-      lostSpent.filter((ticket) => !isOfLostHome(ticket)),
+      stoppedSpent.filter((ticket) => !isFromStoppedIssuer(ticket)),
     ),
   );
   return cases;
 }
 
-async function mintTickets(bench: Bench): Promise<IssuedTicket[]> {
+async function issueTickets(bench: TicketBench): Promise<IssuedTicket[]> {
   const issued: IssuedTicket[] = [];
-  for (const home of bench.site.daemonIds) {
+  for (const issuer of bench.site.daemonIds) {
     for (let index = 0; index < bench.tickets; index += 1) {
       const pen = bench.nextPen++;
-      issued.push({ home, pen, ticket: await bench.site.getTicket(home, pen) });
+      issued.push({
+        issuer,
+        pen,
+        ticket: await bench.site.getTicket(issuer, pen),
+      });
     }
   }
   return issued;
 }
 
-/** Issues tickets of which the first half has run. */
-async function mintBoth(
-  bench: Bench,
+/** Issues two sets of tickets and spends those of the first. */
+async function issueSpentAndUnused(
+  bench: TicketBench,
 ): Promise<[spent: IssuedTicket[], unused: IssuedTicket[]]> {
-  const spent = await mintTickets(bench);
-  await measure(bench.site, "", spent, 0);
-  return [spent, await mintTickets(bench)];
+  const spent = await issueTickets(bench);
+  await sendOrders(bench.site, "", spent, 0);
+  return [spent, await issueTickets(bench)];
 }
 
-/** Calls once with each ticket, through the daemon that is `distance` after its home. */
-async function measure(
+/**
+ * Calls once with each ticket, through the daemon `daemonOffset` places after
+ * its issuer.
+ */
+async function sendOrders(
   site: Site,
   name: string,
   tickets: readonly IssuedTicket[],
-  distance = 2,
-  through: readonly string[] = site.daemonIds,
+  daemonOffset = 2,
+  daemonIds: readonly string[] = site.daemonIds,
 ): Promise<TicketCase> {
   const answers: Record<string, number> = {};
-  await Promise.all(tickets.map(async ({ home, pen, ticket }) => {
-    const index = Math.max(0, through.indexOf(home)) + distance;
-    const daemon = through[index % through.length] ?? "";
+  await Promise.all(tickets.map(async ({ issuer, pen, ticket }) => {
+    const index = Math.max(0, daemonIds.indexOf(issuer)) + daemonOffset;
+    const daemon = daemonIds[index % daemonIds.length] ?? "";
     const answer = await site.order(daemon, pen, ticket);
     const isReplayed = answer.headers.get("idempotent-replayed") === "true";
     const kind = answer.refusal
@@ -175,7 +199,7 @@
   return { name, calls: tickets.length, answers, ranTwice: ranTwice.length };
 }
 
-async function cutDomains(
+async function partitionDomains(
   site: Site,
   left: readonly string[],
   right: readonly string[],
@@ -183,23 +207,23 @@
   for (const id of left) await site.fleet.cut(id, { peers: [...right] });
   for (const id of right) await site.fleet.cut(id, { peers: [...left] });
   for (const peer of [...left, ...right]) {
-    const side = left.includes(peer) ? right : left;
-    for (const id of side) await waitUntilSilent(site, id, peer);
+    const otherSide = left.includes(peer) ? right : left;
+    for (const id of otherSide) await waitUntilReportsDown(site, id, peer);
   }
 }
 
-async function waitUntilLost(site: Site, peer: string): Promise<void> {
+async function waitUntilAllReportDown(site: Site, peer: string): Promise<void> {
   for (const id of site.daemonIds) {
-    if (id !== peer) await waitUntilSilent(site, id, peer);
+    if (id !== peer) await waitUntilReportsDown(site, id, peer);
   }
 }
 
-async function waitUntilSilent(
+async function waitUntilReportsDown(
   site: Site,
   id: string,
   peer: string,
 ): Promise<void> {
-  await waitUntil(`${id} misses ${peer}`, async () => {
+  await waitUntil(`${id} reports ${peer} as down`, async () => {
     const { peers } = await site.fleet.getStatus(id);
     return peers.some((entry) => entry.id === peer && !entry.live);
   });
@@ -207,7 +231,7 @@
 
 async function waitUntilPeersLive(site: Site): Promise<void> {
   for (const id of site.daemonIds) {
-    await waitUntil(`${id} hears its peers`, async () => {
+    await waitUntil(`${id} reports its peers as live`, async () => {
       const { failureDomain, peers } = await site.fleet.getStatus(id);
       return peers.every((peer) =>
         peer.live || peer.failureDomain !== failureDomain
