--- a/bench/control/wake_command.ts
+++ b/bench/control/wake_command.ts
@@ -1,5 +1,5 @@
 /**
- * `bench wake`: measures the calls on the platform when all daemons of the
+ * `bench wake`: measures the calls to the platform when all daemons of the
  * target scale start, resume after a pause, or lose and regain the platform at
  * the same time.
  */
--- a/bench/policy/measures.ts
+++ b/bench/policy/measures.ts
@@ -68,7 +68,7 @@
 
 /**
  * Returns for each customer its requests served within the deadline, as a
- * fraction of its max-min fair share of all requests served so.
+ * fraction of its max-min fair share of all such requests.
  */
 export function computeFairShareRatios(
   records: RequestRecord[],
--- a/bench/report/report_page.ts
+++ b/bench/report/report_page.ts
@@ -136,7 +136,7 @@
  * to its number of requests.
  */
 export function formatOutcomeChart(shares: readonly EndingShares[]): string {
-  const maxAsked = Math.max(1, ...shares.map((each) => each.asked));
+  const maxAsked = Math.max(1, ...shares.map((share) => share.asked));
   const chartWidth = WIDTH - LABEL_WIDTH - 2 * MARGIN;
   const legend = OUTCOMES.map((outcome, series) =>
     `<text x='${LABEL_WIDTH + series * 110}' y='13' fill='${
