--- a/bench/control/control_fleet.ts
+++ b/bench/control/control_fleet.ts
@@ -58,7 +58,7 @@
   /** Time between ticks of a daemon; a multiple of `TICK_MS`. */
   tickMs?: number;
   /** Number of calls for one read of the tables. */
-  callsPerReading?: number;
+  callsPerRead?: number;
   /** Whether to count bytes by kind of message, which is slow. */
   isKindCounted?: boolean;
   /** Returns whether a daemon of the host list runs; all do by default. */
@@ -77,7 +77,7 @@
   isPlatformUp = true;
   tables: TablesStructure | undefined;
   hostList: HostListStructure;
-  transit: Transit = () => [1];
+  intercept: Transit = () => [1];
   /** Calls to the configuration service, by second. */
   readonly callsBySecond = new Map<number, number>();
   /** States of the upstreams; tests change them. */
@@ -244,7 +244,7 @@
       node.counts.messagesSent += messages.length;
       node.counts.envelopesSent += 1;
       if (this.#options.isKindCounted) this.#countKinds(node, messages);
-      for (const delayMs of this.transit(node.host.id, to)) {
+      for (const delayMs of this.intercept(node.host.id, to)) {
         const at = Math.ceil((this.now + delayMs) / TICK_MS) * TICK_MS;
         const arrivals = this.#queue.get(at) ?? [];
         arrivals.push({ to, from: node.host.id, bytes });
@@ -293,7 +293,7 @@
     platform.nextCallAt = this.now + WATCH_TIMEOUT_MS;
     this.handle(node, { kind: "hostListPublished", hostList: this.hostList });
     if (this.tables && revision > platform.knownRevision) {
-      this.#recordCalls(this.#options.callsPerReading ?? 1);
+      this.#recordCalls(this.#options.callsPerRead ?? 1);
       platform.knownRevision = revision;
       this.handle(node, { kind: "tablesPublished", tables: this.tables });
     } else this.handle(node, { kind: "platformReached" });
--- a/bench/control/wake_command.ts
+++ b/bench/control/wake_command.ts
@@ -46,7 +46,7 @@
   const fleet = new ControlFleet({
     hosts: createHosts(sizes),
     tickMs: 100,
-    callsPerReading: CALLS_PER_READING,
+    callsPerRead: CALLS_PER_READING,
   });
   fleet.tables = createTables(sizes, 2);
   const nodes = fleet.listNodes();
--- a/bench/report/day_figures.ts
+++ b/bench/report/day_figures.ts
@@ -1,7 +1,7 @@
 /** Figures of benchmark days, in the form that the report draws. */
 
 /** Outcomes of the requests of one kind, failure domain or time span. */
-export interface EndingShares {
+export interface OutcomeShares {
   /** Kind, failure domain, or second at which the time span starts. */
   name: string;
   asked: number;
@@ -28,9 +28,9 @@
   worth: number;
   parts: { name: string; weight: number; worth: number }[];
   prices: Price[];
-  kinds: EndingShares[];
-  failureDomains: EndingShares[];
-  spans: EndingShares[];
+  kinds: OutcomeShares[];
+  failureDomains: OutcomeShares[];
+  spans: OutcomeShares[];
 }
 
 /** One benchmark run, as the journal stores it. */
--- a/bench/report/report_page.ts
+++ b/bench/report/report_page.ts
@@ -4,7 +4,7 @@
  * by kind, failure domain and second. The charts show what limits the score of
  * a day.
  */
-import type { DayFigures, EndingShares, RunFigures } from "./day_figures.ts";
+import type { DayFigures, OutcomeShares, RunFigures } from "./day_figures.ts";
 
 const WIDTH = 900;
 const ROW_HEIGHT = 18;
@@ -135,7 +135,7 @@
  * Draws a stacked bar of outcomes for each share, with a length in proportion
  * to its number of requests.
  */
-export function formatOutcomeChart(shares: readonly EndingShares[]): string {
+export function formatOutcomeChart(shares: readonly OutcomeShares[]): string {
   const maxAsked = Math.max(1, ...shares.map((share) => share.asked));
   const chartWidth = WIDTH - LABEL_WIDTH - 2 * MARGIN;
   const legend = OUTCOMES.map((outcome, series) =>
--- a/test/core/membership/large_fleet_test.ts
+++ b/test/core/membership/large_fleet_test.ts
@@ -37,7 +37,7 @@
 const fleet = new ControlFleet({
   hosts: createHosts(SIZES),
   tickMs: 100,
-  callsPerReading: 32,
+  callsPerRead: 32,
   isRun: (host) =>
     host.failureDomain === formatDomain(0) ||
     host.failureDomain === formatDomain(1),
--- a/test/core/membership/membership_fleet_test.ts
+++ b/test/core/membership/membership_fleet_test.ts
@@ -175,7 +175,7 @@
 
 test("a one-way loss of connection between two daemons makes neither of them dead", () => {
   const fleet = startFleet(ONE_DOMAIN);
-  fleet.transit = (from, to) =>
+  fleet.intercept = (from, to) =>
     from === "entry-0-0" && to === "entry-0-1" ? [] : [1];
   for (let second = 0; second < 20; second += 1) {
     fleet.run(1_000);
@@ -188,7 +188,7 @@
 test("a partitioned failure domain keeps serving and reconnects when the partition heals", () => {
   const fleet = startFleet(FOUR_DOMAINS);
   const isOutside = (id: string): boolean => !id.startsWith("entry-0-");
-  fleet.transit = (from, to) => isOutside(from) === isOutside(to) ? [1] : [];
+  fleet.intercept = (from, to) => isOutside(from) === isOutside(to) ? [1] : [];
   fleet.run(4_000);
   const inside = fleet.getNode("entry-0-0").core;
   const seen = inside.explainRoute("route-0", fleet.now)
@@ -196,7 +196,7 @@
   assert.ok(seen.length > 0);
   assert.ok(seen.every((domain) => domain === formatDomain(0)));
   fleet.tables = editTables(fleet.tables!, 1);
-  fleet.transit = () => [1];
+  fleet.intercept = () => [1];
   fleet.run(4_000);
   const all = inside.explainRoute("route-0", fleet.now)
     .map((ranked) => ranked.candidate.host.failureDomain);
@@ -207,11 +207,11 @@
 test("the halves of a partitioned failure domain merge when the partition heals", () => {
   const fleet = startFleet(ONE_DOMAIN);
   const isLeft = (id: string): boolean => Number(id.split("-")[2]) < 4;
-  fleet.transit = (from, to) => isLeft(from) === isLeft(to) ? [1] : [];
+  fleet.intercept = (from, to) => isLeft(from) === isLeft(to) ? [1] : [];
   fleet.run(5_000);
   assert.is(listLive(fleet, "entry-0-0").length, 3);
   assert.is(listLive(fleet, "entry-0-8").length, 4);
-  fleet.transit = () => [1];
+  fleet.intercept = () => [1];
   const healedMs = fleet.runUntil(
     () =>
       fleet.listNodes().every((node) =>
@@ -228,7 +228,7 @@
   for (let seed = 1; seed <= 5; seed += 1) {
     const random = new SplitMix(seed);
     const fleet = startFleet(FOUR_DOMAINS);
-    fleet.transit = () => {
+    fleet.intercept = () => {
       const draw = random.next();
       if (draw < 0.1) return [];
       const delayMs = random.next() * 200;
@@ -243,7 +243,7 @@
       });
       fleet.run(300);
     }
-    fleet.transit = () => [1];
+    fleet.intercept = () => [1];
     const revision = fleet.tables!.revision;
     const doneMs = fleet.runUntil(
       () => hasEveryDaemonRevision(fleet, revision),
