--- a/bench/policy/simulation.ts
+++ b/bench/policy/simulation.ts
@@ -165,7 +165,7 @@
         batchSize: isEngine ? deployment.batchSize : SERVICE_BATCH_SIZE,
         heap: this.#heap,
         store: this.#store,
-        isLoadFailing: isLoadFailing,
+        isLoadFailing,
         measureFrom: workload.measureFrom,
       }),
     );
--- a/scripts/list_outer_names.ts
+++ b/scripts/list_outer_names.ts
@@ -5,25 +5,15 @@
  * fields. They are read from the source text, so the list may hold a name too
  * many; a renaming keeps all of them.
  */
-import { readdirSync, readFileSync } from "node:fs";
-import { join } from "node:path";
+import { readFileSync } from "node:fs";
+import { listSourceFiles } from "./list_files.ts";
 
 const SOURCE_FOLDERS = ["src", "platform", "fakes", "scripts", "bench"];
-const GENERATED_FOLDER = "src/protocol/generated";
 
 const OBJECT_KEY = /(?:^|[{,(\s])(\w+):(?!:)/g;
 const SHORTHAND_KEY = /[{,]\s*(\w+)(?=\s*[,}])/g;
 const STRING = /"([^"\\\n]*)"/g;
 
-function listSources(folder: string): string[] {
-  if (folder === GENERATED_FOLDER) return [];
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
-    const path = join(folder, entry.name);
-    if (entry.isDirectory()) return listSources(path);
-    return path.endsWith(".ts") ? [path] : [];
-  });
-}
-
 function stripComments(text: string): string {
   return text.replace(/\/\*[\s\S]*?\*\//g, "").replace(/^\s*\/\/.*$/gm, "");
 }
@@ -55,7 +45,7 @@
   );
 }
 
-const sources = SOURCE_FOLDERS.flatMap(listSources).map((path) => ({
+const sources = SOURCE_FOLDERS.flatMap(listSourceFiles).map((path) => ({
   path,
   text: stripComments(readFileSync(path, "utf8")),
 }));
--- a/scripts/run_tests.ts
+++ b/scripts/run_tests.ts
@@ -3,10 +3,10 @@
  * cases listed in KNOWN-RED.txt may fail; those that do are printed.
  */
 import { spawn } from "node:child_process";
-import { existsSync, readdirSync, readFileSync } from "node:fs";
+import { existsSync, readFileSync } from "node:fs";
 import { cpus } from "node:os";
-import { join } from "node:path";
 import process from "node:process";
+import { listFiles } from "./list_files.ts";
 
 const MAX_PARALLEL = Math.max(2, Math.floor(cpus().length / 2));
 const FILE_TIMEOUT_MS = 300_000;
@@ -42,11 +42,7 @@
 process.exit(failed === 0 && passed > 0 ? 0 : 1);
 
 function listTestFiles(folder: string): string[] {
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
-    const path = join(folder, entry.name);
-    if (entry.isDirectory()) return listTestFiles(path);
-    return entry.name.endsWith("_test.ts") ? [path] : [];
-  }).sort();
+  return listFiles(folder).filter((path) => path.endsWith("_test.ts")).sort();
 }
 
 /**
--- a/test/core/execution/lease_client_test.ts
+++ b/test/core/execution/lease_client_test.ts
@@ -91,7 +91,7 @@
     reassign: () => {},
   });
   return {
-    client: client,
+    client,
     context,
     dispatched,
     takeSent: () =>
@@ -129,7 +129,7 @@
 }
 
 test("a duplicate grant is not returned while its run is in progress", () => {
-  const { client: client, context, dispatched, takeSent } = createClient();
+  const { client, context, dispatched, takeSent } = createClient();
   addRequest(context, client);
   const [request] = takeSent();
   assert.is(request?.kind, "leaseRequest");
@@ -154,7 +154,7 @@
 });
 
 test("a lease for a shorter run time limit is not used for longer runs", () => {
-  const { client: client, context, dispatched, takeSent } = createClient();
+  const { client, context, dispatched, takeSent } = createClient();
   addRequest(context, client);
   const [request] = takeSent();
   if (request?.kind !== "leaseRequest") throw new Error("expected a request");
@@ -179,7 +179,7 @@
 });
 
 test("a grant that no request waits for is returned completely", () => {
-  const { client: client, takeSent } = createClient();
+  const { client, takeSent } = createClient();
   client.handleLeaseGrant("entry-1", {
     kind: "leaseGrant",
     leaseRequestId: "unknown",
--- a/test/core/purity_test.ts
+++ b/test/core/purity_test.ts
@@ -2,10 +2,10 @@
  * Checks that the core stays deterministic: it imports only itself, its state
  * charts and libraries without I/O, reads no clock and uses no random source.
  */
-import { readdirSync, readFileSync } from "node:fs";
-import { join } from "node:path";
+import { readFileSync } from "node:fs";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
+import { listFiles } from "../../scripts/list_files.ts";
 
 const ALLOWED_PACKAGES = new Set([
   "node:buffer",
@@ -18,14 +18,7 @@
 const FORBIDDEN =
   /Date\.now|new Date\(|performance\.|process\.[a-z]|setTimeout|setInterval|Math\.random|randomUUID|randomBytes/;
 
-function listSources(folder: string): string[] {
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
-    const path = join(folder, entry.name);
-    return entry.isDirectory() ? listSources(path) : [path];
-  });
-}
-
-for (const file of listSources("src/core")) {
+for (const file of listFiles("src/core")) {
   test(`${file} imports only the core and allowed packages`, () => {
     const text = readFileSync(file, "utf8");
     for (const [, target] of text.matchAll(/from "([^"]+)"/g)) {
--- a/test/daemon/pages_test.ts
+++ b/test/daemon/pages_test.ts
@@ -1,8 +1,8 @@
 /** The pages for operators and callers list exactly the reasons and metrics that the code has. */
-import { readdirSync, readFileSync } from "node:fs";
-import { join } from "node:path";
+import { readFileSync } from "node:fs";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
+import { listFiles } from "../../scripts/list_files.ts";
 import {
   LeaseRefusalReason,
   Outcome,
@@ -59,7 +59,7 @@
 });
 
 test("every metric that the code emits is described", () => {
-  const emitted = listSources("src").flatMap((file) =>
+  const emitted = listFiles("src").flatMap((file) =>
     [
       ...readFileSync(file, "utf8").matchAll(
         /(?:counter|histogram): "(\w+)"|metrics\.(?:count|measure|setGauge)\(\s*"(\w+)"/g,
@@ -72,7 +72,7 @@
 });
 
 test("the core counts every retry reason", () => {
-  const sources = listSources("src/core")
+  const sources = listFiles("src/core")
     .filter((file) => !file.endsWith("outcomes.ts"))
     .map((file) => readFileSync(file, "utf8")).join("\n");
   const unused = Object.keys(RetryReason)
@@ -97,11 +97,4 @@
   assert.is(rows.length - refusals.length, outcomes.length);
 });
 
-function listSources(folder: string): string[] {
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
-    const path = join(folder, entry.name);
-    return entry.isDirectory() ? listSources(path) : [path];
-  });
-}
-
 test.run();
--- a/test/style/verbs_test.ts
+++ b/test/style/verbs_test.ts
@@ -2,13 +2,12 @@
  * Checks that the name of each function and method begins with a verb listed in
  * docs/VERBS.md.
  */
-import { existsSync, readdirSync, readFileSync } from "node:fs";
-import { join } from "node:path";
+import { readFileSync } from "node:fs";
 import { test } from "uvu";
 import * as assert from "uvu/assert";
+import { listSourceFiles } from "../../scripts/list_files.ts";
 
 const FOLDERS = ["src", "platform", "fakes", "bench", "scripts"];
-const GENERATED_FOLDER = "src/protocol/generated";
 const FUNCTION_PATTERN =
   /^ *(?:export )?(?:default )?(?:async )?function\*? (\w+)/gm;
 const ARROW_FUNCTION_PATTERN =
@@ -23,15 +22,6 @@
     .map((match) => match[1]),
 );
 
-function listSources(folder: string): string[] {
-  if (!existsSync(folder) || folder === GENERATED_FOLDER) return [];
-  return readdirSync(folder, { withFileTypes: true }).flatMap((entry) => {
-    const path = join(folder, entry.name);
-    if (entry.isDirectory()) return listSources(path);
-    return path.endsWith(".ts") ? [path] : [];
-  });
-}
-
 function listMethods(text: string): string[] {
   const names: string[] = [];
   let isInType = false;
@@ -50,7 +40,7 @@
   );
 }
 
-for (const file of FOLDERS.flatMap(listSources)) {
+for (const file of FOLDERS.flatMap(listSourceFiles)) {
   test(`function names in ${file} begin with listed verbs`, () => {
     const text = readFileSync(file, "utf8");
     const unlisted = [...listFunctions(text), ...listMethods(text)]
